--- a/entry.h
+++ b/entry.h
@@ -75,7 +75,7 @@
 void entry_quiesce_http(struct entry *entry);
 void entry_close_http(struct entry *entry);
 
-/* entry-call.c */
+/* entry-proxy.c */
 void entry_call_upstream(struct entry *entry, struct entry_call *call,
                          const struct _u_request *request,
                          struct _u_response *response);
--- a/evidence-internal.h
+++ b/evidence-internal.h
@@ -42,7 +42,7 @@
                                  const struct upstream *not_this,
                                  struct evidence_verdict *verdict);
 
-/* evidence-sick.c */
+/* evidence-outlier.c */
 /** How long answers of a route usually take. */
 struct evidence_usual {
     uint32_t us;    /**< their median */
@@ -67,7 +67,7 @@
 void evidence_reach_missed(struct evidence *ev, uint64_t now,
                            const struct upstream *upstream);
 
-/* evidence-life.c */
+/* evidence-liveness.c */
 /** Says whether what was sent of a flow has left this node so long ago that
  * its upstream's answer could be here. */
 bool evidence_has_left(const struct evidence_flow *flow, uint64_t now);
--- a/evidence.c
+++ b/evidence.c
@@ -1,7 +1,7 @@
 /*
  * Steering by evidence. Owns the records of flows; which upstream a new flow
  * goes to is evidence-choose.c's, what packets tell of upstreams
- * evidence-life.c's.
+ * evidence-liveness.c's.
  */
 #include "evidence-internal.h"
 
--- a/fleet-internal.h
+++ b/fleet-internal.h
@@ -26,11 +26,11 @@
 void fleet_take_members(struct fleet *fleet, uint64_t now,
                         const wire_members *members);
 
-/* fleet-kept.c */
+/* fleet-saved.c */
 /** Greets the stored nodes that were not heard yet. */
 void fleet_greet_unheard(struct fleet *fleet, uint64_t now);
 
-/* fleet-owed.c */
+/* fleet-transfer.c */
 /** A node is owed something; one that begins is before the others. */
 void fleet_owe(struct fleet *fleet, uint32_t to, enum fleet_bulk what,
                bool begins);
@@ -115,7 +115,7 @@
 void fleet_take_spread_ack(struct fleet *fleet, uint64_t now,
                            const wire_spread_ack *ack);
 
-/* fleet-spread.c */
+/* fleet-send.c */
 /** Sends a message; to address 0 or to this node itself, nothing. */
 void fleet_send(struct fleet *fleet, uint32_t to, wire_msg *msg);
 /** Sends an encoded message, which is shared. */
--- a/flow-internal.h
+++ b/flow-internal.h
@@ -103,7 +103,7 @@
 upstream_id flow_lookup_upstream(const struct flow *flow, uint32_t address,
                                  uint16_t port);
 
-/* flow-known.c */
+/* flow-filter.c */
 bool flow_is_known(const struct flow *flow, uint64_t keeper, uint64_t hash);
 void flow_forget_known(struct flow *flow);
 
--- a/part.c
+++ b/fragment.c
@@ -1,5 +1,5 @@
 /* Splitting messages into parts, and putting them together. */
-#include "part.h"
+#include "fragment.h"
 
 #include <string.h>
 
--- a/part.h
+++ b/fragment.h
@@ -1,5 +1,5 @@
 /**
- * @file part.h
+ * @file fragment.h
  * Messages that no datagram holds, in parts. A lost part loses the message,
  * which is sent again by its own rule. Owns the parts that have arrived; does
  * no I/O.
--- a/node-voter.h
+++ b/node-voter.h
@@ -8,7 +8,7 @@
 #define RIDGERIDGE_NODE_VOTER_H
 
 #include "node.h"
-#include "order.h"
+#include "replica.h"
 
 /** What the loop asks of the voter. */
 enum voter_job_kind {
--- a/node.h
+++ b/node.h
@@ -19,7 +19,7 @@
 #include "histogram.h"
 #include "loop.h"
 #include "node-settings.h"
-#include "part.h"
+#include "fragment.h"
 #include "ring.h"
 #include "status.h"
 #include "upstream.h"
@@ -93,7 +93,7 @@
 /** Steers once more the packets that were held. */
 void node_release_packets(struct node *node);
 
-/* node-carry.c */
+/* node-forward.c */
 /** Sends a caller's packet to its upstream by a node of another hall; false
  * when there is none. */
 bool node_carry(struct node *node, uint64_t now,
@@ -169,7 +169,7 @@
  * takes the bytes over. */
 void node_voter_keep(struct node *node, GByteArray *bytes);
 
-/* node-pack.c */
+/* node-compress.c */
 /**
  * Deflates a document; free `packed` with g_free().
  * @return STATUS_REFUSED when it is too large for the log, STATUS_NO_ANSWER
--- a/order-voters.c
+++ b/replica-voters.c
@@ -2,7 +2,7 @@
  * Who votes: which disks there are, which of them hold the log, and the
  * changes of the list of voters that the leader proposes, one at a time.
  */
-#include "order-internal.h"
+#include "replica-internal.h"
 
 #include <string.h>
 
--- a/order.c
+++ b/replica.c
@@ -2,7 +2,7 @@
  * The order of routing tables and of emptied halls among the voters: applying
  * what is committed, and operators who wait.
  */
-#include "order-internal.h"
+#include "replica-internal.h"
 
 #include <string.h>
 
--- a/order.h
+++ b/replica.h
@@ -1,5 +1,5 @@
 /**
- * @file order.h
+ * @file replica.h
  * One voter of a deployment where the highest version wins: consensus on the
  * routing tables that operators send and on which data halls they empty, reads
  * confirmed by a quorum, and who votes. Founds itself alone, takes other disks
--- a/tests/fleet-sim.h
+++ b/tests/fleet-sim.h
@@ -9,8 +9,8 @@
 
 #include "evidence.h"
 #include "fleet.h"
-#include "order.h"
-#include "part.h"
+#include "replica.h"
+#include "fragment.h"
 #include "sim-disk.h"
 
 #define FLEET_SIM_NODES 400          /* most, with those that replace others */
--- a/tests/steer-model.h
+++ b/tests/steer-model.h
@@ -119,7 +119,7 @@
 /* Index of an upstream by id, NONE when there is none. */
 unsigned model_index_of(const struct model *m, uint64_t id);
 
-/* steer-ways.c */
+/* steer-policies.c */
 /* Makes nodes choose by the way of a model. */
 void way_begin(struct model *m);
 /* Lets them choose as the program does. */
--- a/tests/test-hall.c
+++ b/tests/test-hall.c
@@ -14,7 +14,7 @@
 #include "fixture.h"
 #include "hash.h"
 #include "mutation.h"
-#include "order.h"
+#include "replica.h"
 #include "sim-disk.h"
 #include "store.h"
 
--- a/tools/soak/host.c
+++ b/tools/soak/host.c
@@ -12,7 +12,7 @@
 #include <string.h>
 #include <sys/socket.h>
 
-#include "ask.h"
+#include "http.h"
 #include "link.h"
 #include "loop.h"
 #include "platform/standin/standin.h"
--- a/tools/soak/ask.c
+++ b/tools/soak/http.c
@@ -3,7 +3,7 @@
  * node drawn by lot, and follows where it is sent; no read may be older than
  * what was acknowledged. The fabric leaves out nodes that do not answer.
  */
-#include "ask.h"
+#include "http.h"
 
 #include <curl/curl.h>
 #include <stdbool.h>
--- a/tools/soak/ask.h
+++ b/tools/soak/http.h
@@ -1,5 +1,5 @@
 /**
- * @file ask.h
+ * @file http.h
  * Those who ask the soak's nodes over HTTP, in threads of their own: an
  * operator, whose reads are checked, and the fabric, which sends packets only
  * to nodes that say they are ready. They own what they were answered, and
--- a/tools/soak/soak.c
+++ b/tools/soak/soak.c
@@ -3,7 +3,7 @@
  * stops, pauses and restarts them, loses disks or lets them refuse writes, and
  * delays, drops or cuts what they say to each other; it plays the fabric,
  * callers, upstreams and an operator, and checks while it runs what these see.
- * Here are the processes and the faults; link.c passes what nodes say, ask.c
+ * Here are the processes and the faults; link.c passes what nodes say, http.c
  * plays fabric and operator, host.c callers and upstreams.
  *
  *   build/soak SECONDS SEED [NODES]
@@ -27,7 +27,7 @@
 #include <unistd.h>
 
 #include "address.h"
-#include "ask.h"
+#include "http.h"
 #include "host.h"
 #include "link.h"
 #include "loop.h"
