--- a/evidence-outlier.c
+++ b/evidence-outlier.c
@@ -1,73 +1,69 @@
 /*
- * Upstreams that fail what they are sent, though they register as well: they
- * answer far sooner than their peers do for the same route, since they do not
- * do the work. This entry sees how soon, never what. Its word goes to the node
- * that hears the upstream; several such words make it sick.
+ * Outlier detection by response time. An upstream that fails requests without
+ * processing them answers far earlier than the median of its route. This node
+ * reports early answers to the node that monitors the upstream; several
+ * reports eject it.
  */
 #include "evidence-internal.h"
 
 #include "fault.h"
 
-/* An answer comes too soon when it took less than one part in so many of what
- * is usual: with a spread of a half of the mean, as requests were described,
- * one of 30,000 does by chance. */
-#define SOON_PARTS 6U
-/* What is usual is known once so many answers of the route were seen. */
-#define USUAL_COUNT 16U
-/* Each moves it by a sixteenth of itself, up or down, to the median. */
-#define USUAL_SHARE 16U
-/* Answers that usually take less than this are not told apart from errors: the
- * way there and back takes some ms. */
-#define USUAL_LEAST_US 20000U
-/* Between two words about one upstream. */
-#define TOLD_PAUSE_MS 200U
+/* An answer is early below 1/6 of the median. */
+#define EARLY_DIVISOR 6U
+/* Samples required for a valid median. */
+#define MEDIAN_MIN_ANSWERS 16U
+/* Step of the running median, as a fraction of it: 1/16. */
+#define MEDIAN_DIVISOR 16U
+/* Below this median the network round trip hides early answers. */
+#define MEDIAN_MIN_US 20000U
+/* Minimum interval between reports about an upstream. */
+#define REPORT_INTERVAL_MS 200U
 
-/* What is usual for a route; made when it is new. */
-static struct evidence_usual *
-usual_of(struct evidence *ev, const struct evidence_packet *packet)
+/* Finds or creates the baseline of a route. */
+static struct evidence_baseline *
+baseline_of(struct evidence *ev, const struct evidence_packet *packet)
 {
     gpointer key = route_key(packet->destination, packet->destination_port);
-    struct evidence_usual *usual = g_hash_table_lookup(ev->usual, key);
+    struct evidence_baseline *baseline =
+        g_hash_table_lookup(ev->baselines, key);
 
-    if (usual == NULL) {
-        usual = g_new0(struct evidence_usual, 1);
-        g_hash_table_insert(ev->usual, key, usual);
+    if (baseline == NULL) {
+        baseline = g_new0(struct evidence_baseline, 1);
+        g_hash_table_insert(ev->baselines, key, baseline);
     }
-    return usual;
+    return baseline;
 }
 
-/* Moves what is usual. */
 static void
-move_usual(struct evidence_usual *usual, uint32_t took_us)
+update_median(struct evidence_baseline *baseline, uint32_t latency_us)
 {
-    if (usual->count == 0) {
-        usual->us = took_us;
+    if (baseline->answers == 0) {
+        baseline->median_us = latency_us;
     }
-    else if (took_us > usual->us) {
-        usual->us += MAX(usual->us / USUAL_SHARE, 1U);
+    else if (latency_us > baseline->median_us) {
+        baseline->median_us += MAX(baseline->median_us / MEDIAN_DIVISOR, 1U);
     }
     else {
-        usual->us -= usual->us / USUAL_SHARE;
+        baseline->median_us -= baseline->median_us / MEDIAN_DIVISOR;
     }
-    usual->count += usual->count < USUAL_COUNT;
+    baseline->answers += baseline->answers < MEDIAN_MIN_ANSWERS;
 }
 
-/* An upstream answered data of a route. */
 void
-evidence_note_answer(struct evidence *ev, uint64_t now,
-                     const struct evidence_packet *packet,
-                     struct upstream *upstream, uint32_t took_us)
+evidence_note_response(struct evidence *ev, uint64_t now,
+                       const struct evidence_packet *packet,
+                       struct upstream *upstream, uint32_t latency_us)
 {
-    struct evidence_usual *usual = usual_of(ev, packet);
-    bool too_soon = usual->count >= USUAL_COUNT &&
-                    usual->us >= USUAL_LEAST_US &&
-                    took_us < usual->us / SOON_PARTS;
+    struct evidence_baseline *baseline = baseline_of(ev, packet);
+    bool early = baseline->answers >= MEDIAN_MIN_ANSWERS &&
+                 baseline->median_us >= MEDIAN_MIN_US &&
+                 latency_us < baseline->median_us / EARLY_DIVISOR;
 
-    move_usual(usual, took_us);
-    if (too_soon && now >= upstream->too_soon_at && !fault_is(FAULT_NO_SICK)) {
-        struct upstream_doubt word = {.id = upstream->id, .too_soon = true};
+    update_median(baseline, latency_us);
+    if (early && now >= upstream->too_soon_at && !fault_is(FAULT_NO_SICK)) {
+        struct upstream_doubt report = {.id = upstream->id, .too_soon = true};
 
-        upstream->too_soon_at = now + TOLD_PAUSE_MS;
-        g_array_append_val(ev->upstreams->doubted, word);
+        upstream->too_soon_at = now + REPORT_INTERVAL_MS;
+        g_array_append_val(ev->upstreams->doubted, report);
     }
 }
--- a/evidence-verify.c
+++ b/evidence-verify.c
@@ -1,12 +1,12 @@
-/* Recomputing recorded decisions. */
+/* Recomputes recorded decisions from the table and the inventory. */
 #include "evidence-verify.h"
 
 #include "hash.h"
 
-/* The service that a flow's route picks for it; 0 when there is none. */
+/* Hash of the service that a flow is routed to; 0 when there is none. */
 static uint64_t
-picked_service(const struct route_table *table,
-               const struct ring_record *record)
+service_of_route(const struct route_table *table,
+                 const struct ring_record *record)
 {
     const struct route *route =
         route_find(table, record->route_address, record->route_port);
@@ -16,10 +16,11 @@
     return target != NULL ? hash_name(target->service) : 0;
 }
 
-/* Says whether the upstream of a decision, if it is still known, serves what
- * the decision says. */
+/* Whether the upstream of a decision belongs to the recorded service; true
+ * when it is no longer in the inventory. */
 static bool
-serves(const struct upstream_set *upstreams, const struct ring_record *record)
+service_matches(const struct upstream_set *upstreams,
+                const struct ring_record *record)
 {
     const struct upstream *upstream = upstream_by_id(upstreams, record->peer);
 
@@ -28,11 +29,11 @@
                record->service;
 }
 
-/* Says whether no rule about halls was broken: the upstream's hall was not
- * emptied, as far as the same halls are emptied still. */
+/* Whether the hall of the upstream was not drained; true when the drained
+ * halls have changed since. */
 static bool
-was_open(const struct upstream_set *upstreams,
-         const struct ring_record *record)
+was_not_drained(const struct upstream_set *upstreams,
+                const struct ring_record *record)
 {
     const struct upstream *upstream = upstream_by_id(upstreams, record->peer);
 
@@ -40,14 +41,13 @@
            !upstream->emptied;
 }
 
-/* Counts the upstreams of the service that a flow's route picks whose hall is
- * emptied. */
+/* Counts the upstreams of a flow's service in drained halls. */
 static unsigned
-count_emptied(const struct route_table *table,
+count_drained(const struct route_table *table,
               const struct upstream_set *upstreams,
               const struct ring_record *record)
 {
-    uint64_t service = picked_service(table, record);
+    uint64_t service = service_of_route(table, record);
     unsigned count = 0;
 
     for (guint i = 0; i < upstreams->all->len; i++) {
@@ -60,14 +60,12 @@
     return count;
 }
 
-/* Turns yes or no into a proof. */
 static enum evidence_proof
 proof_of(bool same)
 {
     return same ? EVIDENCE_PROVED : EVIDENCE_DISPROVED;
 }
 
-/* Recomputes one decision. */
 enum evidence_proof
 evidence_verify(const struct route_table *table,
                 const struct upstream_set *upstreams,
@@ -79,16 +77,16 @@
     switch ((int)record->rule) {
     case RULE_LEAST_WORK:
     case RULE_MOVED_OFF:
-        return proof_of(picked_service(table, record) == record->service &&
-                        serves(upstreams, record) &&
-                        was_open(upstreams, record));
+        return proof_of(service_of_route(table, record) == record->service &&
+                        service_matches(upstreams, record) &&
+                        was_not_drained(upstreams, record));
     case RULE_SAME_AGAIN:
         /* The first copy may have been sent under an older table. */
-        return proof_of(serves(upstreams, record));
+        return proof_of(service_matches(upstreams, record));
     case RULE_HALL_EMPTIED:
         return record->halls != upstreams->halls.revision
                    ? EVIDENCE_OTHER_HALLS
-                   : proof_of(count_emptied(table, upstreams, record) > 0);
+                   : proof_of(count_drained(table, upstreams, record) > 0);
     case RULE_NO_ROUTE:
     case RULE_ROUTE_DROPPED:
         return proof_of(route_find(table, record->route_address,
@@ -98,7 +96,6 @@
     }
 }
 
-/* A proof's name. */
 const char *
 evidence_proof_name(enum evidence_proof proof)
 {
--- a/evidence-verify.h
+++ b/evidence-verify.h
@@ -1,8 +1,8 @@
 /**
  * @file evidence-verify.h
- * Recomputes a recorded decision about a flow with the code that made it, as
- * far as a record tells: which route, which service, whose upstream. The work
- * that was seen at upstreams is gone by then and is not recomputed.
+ * Verifies a recorded decision by recomputing its route, service and drained
+ * halls from the active table. The load of upstreams at the time is not
+ * recorded, so the choice among them is not verified.
  */
 #ifndef RIDGERIDGE_EVIDENCE_VERIFY_H
 #define RIDGERIDGE_EVIDENCE_VERIFY_H
@@ -11,21 +11,22 @@
 #include "route.h"
 #include "upstream.h"
 
-/** What recomputing showed. */
+/** Result of a verification. */
 enum evidence_proof {
-    EVIDENCE_PROVED,      /**< the same comes out */
-    EVIDENCE_DISPROVED,   /**< something else comes out */
-    EVIDENCE_OTHER_TABLE, /**< made under another table than the one held */
-    EVIDENCE_OTHER_HALLS, /**< made when other data halls were emptied */
-    EVIDENCE_NO_PROOF     /**< the rule leaves nothing to recompute */
+    EVIDENCE_PROVED,      /**< same result */
+    EVIDENCE_DISPROVED,   /**< different result */
+    EVIDENCE_OTHER_TABLE, /**< not verified: the table has changed since */
+    EVIDENCE_OTHER_HALLS, /**< not verified: drained halls have changed since
+                           */
+    EVIDENCE_NO_PROOF     /**< the rule has nothing to recompute */
 };
 
-/** Recomputes one decision. */
+/** Verifies one decision. */
 enum evidence_proof evidence_verify(const struct route_table *table,
                                     const struct upstream_set *upstreams,
                                     const struct ring_record *record);
 
-/** A proof's name on pages. */
+/** Stable name of a result, for JSON output. */
 const char *evidence_proof_name(enum evidence_proof proof);
 
 #endif
--- a/evidence.c
+++ b/evidence.c
@@ -1,7 +1,7 @@
 /*
- * Steering by evidence. Owns the records of flows; which upstream a new flow
- * goes to is evidence-choose.c's, what packets tell of upstreams
- * evidence-liveness.c's.
+ * Steering by token: routing table, flow records and the decision about each
+ * packet. evidence-choose.c selects upstreams for new flows;
+ * evidence-liveness.c detects failed ones.
  */
 #include "evidence-internal.h"
 
@@ -10,22 +10,18 @@
 #include "fault.h"
 #include "hash.h"
 
-/* Between two sweeps for flows that ended. */
-#define SWEEP_MS 1000U
-/* First packets are repeated after 200 and 600 ms and given up after 1.4 s:
- * an upstream that let one go without an answer is avoided for that long, so
- * that no second caller waits for it too. */
-#define SUSPECT_MS 1500U
-/* A copy of a first packet tells of a lost upstream only when so long passed
- * since this entry forwarded the one before: copies are sent 200 ms apart and
- * more, but arrive together where they were held up. */
-#define ANSWER_MS 150U
-/* An upstream that gave a sign of life this lately is alive: a first packet
- * without an answer was lost on its way. */
-#define ALIVE_MS 1000U
+#define SWEEP_INTERVAL_MS 1000U
+/* Callers retransmit a first packet after 200 and 600 ms and give up after 1.4
+ * s. */
+#define SUSPICION_TIMEOUT_MS 1500U
+/* Callers retransmit after 200 ms or more; copies at shorter intervals were
+ * delayed in the network. */
+#define FIRST_RETRANSMIT_MIN_MS 150U
+/* After an answer this recent, an unanswered first packet counts as lost in
+ * the network. */
+#define ALIVE_TIMEOUT_MS 1000U
 #define MILLI 1000U
 
-/* Starts without a table. */
 void
 evidence_open(struct evidence *ev, struct upstream_set *upstreams,
               struct counters *counters, uint64_t flow_max_ms)
@@ -38,38 +34,36 @@
     ev->overshoot_milli = MILLI;
     ev->nodes.self = upstreams->self;
     ev->nodes.all = g_array_new(FALSE, FALSE, sizeof(uint32_t));
-    ev->dropped = g_hash_table_new(g_direct_hash, g_direct_equal);
-    ev->usual =
+    ev->dropped_routes = g_hash_table_new(g_direct_hash, g_direct_equal);
+    ev->baselines =
         g_hash_table_new_full(g_direct_hash, g_direct_equal, NULL, g_free);
     ev->halls = g_array_new(FALSE, FALSE, sizeof(struct evidence_hall));
-    ev->usual_us = g_array_new(FALSE, TRUE, sizeof(uint32_t));
+    ev->median_us = g_array_new(FALSE, TRUE, sizeof(uint32_t));
     ev->flows =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
 }
 
-/* Frees it. */
 void
 evidence_close(struct evidence *ev)
 {
     route_free(ev->table);
-    g_hash_table_destroy(ev->dropped);
+    g_hash_table_destroy(ev->dropped_routes);
     g_hash_table_destroy(ev->flows);
-    g_hash_table_destroy(ev->usual);
+    g_hash_table_destroy(ev->baselines);
     g_array_free(ev->halls, TRUE);
-    g_array_free(ev->usual_us, TRUE);
+    g_array_free(ev->median_us, TRUE);
     g_array_free(ev->nodes.all, TRUE);
 }
 
-/* Remembers which routes a newer table drops, so that their flows end. */
 static void
-note_dropped(struct evidence *ev, const struct route_table *next)
+update_dropped_routes(struct evidence *ev, const struct route_table *next)
 {
     for (guint i = 0; i < ev->table->routes->len; i++) {
         const struct route *route =
             &g_array_index(ev->table->routes, struct route, i);
 
         if (route_find(next, route->address, route->port) == NULL) {
-            (void)g_hash_table_add(ev->dropped,
+            (void)g_hash_table_add(ev->dropped_routes,
                                    route_key(route->address, route->port));
         }
     }
@@ -77,20 +71,20 @@
         const struct route *route =
             &g_array_index(next->routes, struct route, i);
 
-        (void)g_hash_table_remove(ev->dropped,
+        (void)g_hash_table_remove(ev->dropped_routes,
                                   route_key(route->address, route->port));
     }
 }
 
-/* Takes what services bear while their upstreams are cold; those that state
- * nothing any more have no bound. */
+/* Sets the warmup limits of all services; services that the table does not
+ * list have none. */
 static void
 apply_warmups(struct evidence *ev, const struct route_table *table)
 {
     struct upstream_set *set = ev->upstreams;
 
     g_array_set_size(set->limits, 0);
-    /* Who owns an upstream is worked out anew: there may be more owners. */
+    /* The number of owners may have changed: invalidates cached ownership. */
     ev->nodes.version++;
     ev->bounded = false;
     for (guint i = 0; i < table->warmups->len; i++) {
@@ -106,7 +100,6 @@
     }
 }
 
-/* Takes a table over. */
 bool
 evidence_apply(struct evidence *ev, struct route_table *table)
 {
@@ -123,25 +116,24 @@
         }
     }
     apply_warmups(ev, table);
-    note_dropped(ev, table);
+    update_dropped_routes(ev, table);
     route_free(ev->table);
     ev->table = table;
     counter_add(ev->counters, COUNTER_BUNDLES_APPLIED, 1);
     return true;
 }
 
-/* Hash of a flow. */
 uint64_t
 evidence_hash(const struct evidence_packet *packet)
 {
     uint64_t caller = (uint64_t)packet->source << 16 | packet->source_port;
-    uint64_t place =
+    uint64_t destination =
         (uint64_t)packet->destination << 16 | packet->destination_port;
 
-    return hash_pair(HASH_FLOW, caller, place);
+    return hash_pair(HASH_FLOW, caller, destination);
 }
 
-/* Takes a flow off its upstream's counts. */
+/* Removes a flow from the counts of its upstream. */
 static void
 detach(struct evidence *ev, struct evidence_flow *flow)
 {
@@ -153,22 +145,22 @@
     }
 }
 
-/* Puts a flow on an upstream's counts. */
+/* Binds a flow to an upstream and adds it to its counts. */
 static void
 attach(struct evidence_flow *flow, struct upstream *upstream, uint64_t now)
 {
     flow->upstream = upstream->id;
-    flow->born = upstream->born;
+    flow->upstream_started_at = upstream->born;
     flow->opened_at = now;
     flow->answered = false;
-    flow->ordered = false;
-    flow->hole = false;
+    flow->has_next_sequence = false;
+    flow->gap = false;
     flow->acknowledged = 0;
     upstream->open++;
 }
 
-/* Puts a flow on an upstream, off the one that it had; makes its record when
- * there is none. */
+/* Binds a flow to an upstream instead of its former one; creates a missing
+ * record. */
 static struct evidence_flow *
 bind_flow(struct evidence *ev, uint64_t now, uint64_t key,
           struct evidence_flow *flow, struct upstream *upstream)
@@ -185,85 +177,86 @@
     return flow;
 }
 
-/* Answers with a verdict that sends nothing to an upstream. */
 static void
-end_with(struct evidence_verdict *verdict, enum evidence_action action,
-         enum ring_rule rule)
+set_verdict(struct evidence_verdict *verdict, enum evidence_action action,
+            enum ring_rule rule)
 {
     verdict->action = action;
     verdict->rule = rule;
 }
 
-/* Answers with a verdict that forwards. */
 static void
-forward_to(struct evidence_verdict *verdict, const struct upstream *upstream,
-           enum ring_rule rule)
+set_forward(struct evidence_verdict *verdict, const struct upstream *upstream,
+            enum ring_rule rule)
 {
     verdict->action = EVIDENCE_FORWARD;
     verdict->rule = rule;
     verdict->upstream = upstream;
 }
 
-/* Says whether a copy of a first packet goes where the first one went. A
- * second upstream is asked only when the first gave no sign of life: when two
- * answer, the token and the flow may part. Suspects an upstream that let the
- * one before go without an answer. */
+/* Whether a retransmitted first packet goes to the same upstream. Another one
+ * is tried only while the first has not answered: if both accepted the flow,
+ * packets could reach the wrong one. Suspects an upstream that left the
+ * previous copy unanswered. */
 static bool
-stays(struct evidence *ev, uint64_t now, const struct evidence_flow *flow,
-      const struct evidence_packet *packet, struct upstream *upstream)
+keeps_upstream(struct evidence *ev, uint64_t now,
+               const struct evidence_flow *flow,
+               const struct evidence_packet *packet, struct upstream *upstream)
 {
     if (upstream == NULL || upstream->state != UPSTREAM_READY ||
         upstream->emptied) {
         return false;
     }
     if (packet->acknowledged == 0 || flow->answered ||
-        now < flow->opened_at + ANSWER_MS || !evidence_has_left(flow, now)) {
+        now < flow->opened_at + FIRST_RETRANSMIT_MIN_MS ||
+        !evidence_answer_is_due(flow, now)) {
         return true;
     }
     if (fault_is(FAULT_NO_MOVE)) {
         return true;
     }
-    evidence_reach_missed(ev, now, upstream);
+    evidence_reach_note_timeout(ev, now, upstream);
     if (!fault_is(FAULT_NO_SUSPICION)) {
-        upstream->suspect_until = now + SUSPECT_MS;
+        upstream->suspect_until = now + SUSPICION_TIMEOUT_MS;
     }
-    return packet->acknowledged == 1 && now <= upstream->alive_at + ALIVE_MS;
+    return packet->acknowledged == 1 &&
+           now <= upstream->alive_at + ALIVE_TIMEOUT_MS;
 }
 
-/* Opens a flow at the upstream that was chosen; `flow` is what is remembered
- * of it, NULL when it is new. */
+/* Opens a flow at the chosen upstream; `flow` is NULL when it has no record.
+ */
 static void
 open_flow(struct evidence *ev, uint64_t now, struct evidence_flow *flow,
           struct upstream *upstream, struct evidence_verdict *verdict)
 {
-    bool moves = flow != NULL && evidence_upstream_of(ev, flow) != NULL;
+    bool rerouted = flow != NULL && evidence_upstream_of(ev, flow) != NULL;
 
     if (flow == NULL) {
         counter_add(ev->counters, COUNTER_FLOWS_NEW, 1);
     }
-    if (moves) {
+    if (rerouted) {
         counter_add(ev->counters, COUNTER_FLOWS_MOVED_OFF, 1);
     }
     flow = bind_flow(ev, now, verdict->flow, flow, upstream);
     if (upstream_is_cold(upstream, now)) {
         upstream->cold_next_at = now + WARMUP_PACE_MS;
     }
-    flow->seen_at = now;
-    flow->forget_at = 0;
-    forward_to(verdict, upstream, moves ? RULE_MOVED_OFF : RULE_LEAST_WORK);
+    flow->last_seen_at = now;
+    flow->expire_at = 0;
+    set_forward(verdict, upstream,
+                rerouted ? RULE_MOVED_OFF : RULE_LEAST_WORK);
 }
 
-/* Why there is no upstream for a new flow. */
+/* Rule to report when no upstream is eligible. */
 static enum ring_rule
-rule_of_none(const struct evidence_verdict *verdict)
+no_upstream_rule(const struct evidence_verdict *verdict)
 {
-    if (verdict->cold > 0) {
+    if (verdict->warming > 0) {
         return RULE_ALL_COLD;
     }
-    return verdict->emptied > 0 ? RULE_HALL_EMPTIED : RULE_NO_UPSTREAM;
+    return verdict->drained > 0 ? RULE_HALL_EMPTIED : RULE_NO_UPSTREAM;
 }
 
-/* Steers a packet that opens a flow. */
 static void
 steer_first(struct evidence *ev, uint64_t now,
             const struct evidence_packet *packet, const struct route *route,
@@ -271,40 +264,41 @@
 {
     struct evidence_flow *flow =
         g_hash_table_lookup(ev->flows, &verdict->flow);
-    struct upstream *before =
+    struct upstream *previous =
         flow != NULL ? evidence_upstream_of(ev, flow) : NULL;
     const struct route_target *target = route_pick(route, verdict->flow);
     struct upstream *upstream;
 
-    verdict->once = route->kind == ROUTE_ONCE;
-    if (flow != NULL && stays(ev, now, flow, packet, before)) {
-        flow->seen_at = now;
-        forward_to(verdict, before, RULE_SAME_AGAIN);
+    verdict->non_idempotent = route->kind == ROUTE_ONCE;
+    if (flow != NULL && keeps_upstream(ev, now, flow, packet, previous)) {
+        flow->last_seen_at = now;
+        set_forward(verdict, previous, RULE_SAME_AGAIN);
         return;
     }
-    upstream = target != NULL
-                   ? evidence_choose(ev, now, target->handle, before, verdict)
-                   : NULL;
-    if (upstream == NULL && before != NULL && evidence_takes_new(before)) {
-        forward_to(verdict, before, RULE_SAME_AGAIN);
+    upstream = target != NULL ? evidence_choose(ev, now, target->handle,
+                                                previous, verdict)
+                              : NULL;
+    if (upstream == NULL && previous != NULL &&
+        evidence_accepts_flows(previous)) {
+        set_forward(verdict, previous, RULE_SAME_AGAIN);
         return;
     }
     if (upstream == NULL) {
         counter_add(ev->counters, COUNTER_PACKETS_NO_UPSTREAM, 1);
-        end_with(verdict, ev->settled ? EVIDENCE_REFUSE : EVIDENCE_HOLD,
-                 rule_of_none(verdict));
+        set_verdict(verdict, ev->settled ? EVIDENCE_REFUSE : EVIDENCE_HOLD,
+                    no_upstream_rule(verdict));
         return;
     }
     open_flow(ev, now, flow, upstream, verdict);
 }
 
-/* The record of a flow whose packet names an upstream. Of a flow that was not
- * known here, data or an end, perhaps sent again, proves no life: what it
- * acknowledges may be old. */
+/* Finds or creates the record of a flow for the upstream of its token. The
+ * acknowledgement in the first data or closing packet seen here may be old, so
+ * it does not count as an answer. */
 static struct evidence_flow *
-flow_of(struct evidence *ev, uint64_t now,
-        const struct evidence_packet *packet, uint64_t key,
-        struct upstream *upstream)
+get_flow(struct evidence *ev, uint64_t now,
+         const struct evidence_packet *packet, uint64_t key,
+         struct upstream *upstream)
 {
     struct evidence_flow *flow = g_hash_table_lookup(ev->flows, &key);
 
@@ -316,33 +310,36 @@
     return flow;
 }
 
-/* Ends a flow that cannot go on, unless its caller has just done so. */
+/* Refuses a packet of an open flow; drops a reset, which needs no reply. */
 static void
-end_flow(const struct evidence_packet *packet,
-         struct evidence_verdict *verdict, enum ring_rule rule)
+refuse_open(const struct evidence_packet *packet,
+            struct evidence_verdict *verdict, enum ring_rule rule)
 {
-    end_with(verdict, packet->reset ? EVIDENCE_DROP : EVIDENCE_REFUSE, rule);
+    set_verdict(verdict, packet->reset ? EVIDENCE_DROP : EVIDENCE_REFUSE,
+                rule);
 }
 
-/* Steers a packet to the upstream that it names, unless that one is lost. */
+/* Forwards a packet to the upstream of its token, unless that is lost. */
 static void
-follow(struct evidence *ev, uint64_t now, const struct evidence_packet *packet,
-       struct upstream *upstream, struct evidence_verdict *verdict)
+steer_by_token(struct evidence *ev, uint64_t now,
+               const struct evidence_packet *packet, struct upstream *upstream,
+               struct evidence_verdict *verdict)
 {
     struct evidence_flow *flow =
-        flow_of(ev, now, packet, verdict->flow, upstream);
+        get_flow(ev, now, packet, verdict->flow, upstream);
 
-    evidence_learn(ev, now, packet, flow, upstream);
+    evidence_observe(ev, now, packet, flow, upstream);
     if (evidence_is_lost(ev, now, flow, upstream)) {
-        evidence_forget(ev, now, flow);
-        end_flow(packet, verdict, RULE_UPSTREAM_LOST);
+        evidence_expire_flow(ev, now, flow);
+        refuse_open(packet, verdict, RULE_UPSTREAM_LOST);
         return;
     }
-    forward_to(verdict, upstream, RULE_EVIDENCE);
-    verdict->detour = evidence_is_cut(ev, now, upstream->hall_hash);
+    set_forward(verdict, upstream, RULE_EVIDENCE);
+    verdict->via_relay =
+        evidence_hall_is_suspected(ev, now, upstream->hall_hash);
 }
 
-/* Steers a packet of a flow that is open, or thought to be. */
+/* Steers a packet other than the first of its flow. */
 static void
 steer_open(struct evidence *ev, uint64_t now,
            const struct evidence_packet *packet,
@@ -351,31 +348,30 @@
     struct upstream *upstream;
 
     if (g_hash_table_contains(
-            ev->dropped,
+            ev->dropped_routes,
             route_key(packet->destination, packet->destination_port))) {
-        end_flow(packet, verdict, RULE_ROUTE_DROPPED);
+        refuse_open(packet, verdict, RULE_ROUTE_DROPPED);
         return;
     }
     if (packet->token == 0) {
-        end_with(verdict, EVIDENCE_DROP, RULE_NO_EVIDENCE);
+        set_verdict(verdict, EVIDENCE_DROP, RULE_NO_EVIDENCE);
         return;
     }
     upstream = upstream_by_token(ev->upstreams, packet->token);
     if (upstream == NULL) {
-        /* Also once this entry serves: it begins to with a part of the
-         * inventory, and others are asked for this upstream. */
-        end_with(verdict, EVIDENCE_HOLD, RULE_UNKNOWN_EVIDENCE);
+        /* The inventory of a starting node is incomplete; peers are queried
+         * for this token. */
+        set_verdict(verdict, EVIDENCE_HOLD, RULE_UNKNOWN_EVIDENCE);
         return;
     }
     verdict->upstream = upstream;
     if (upstream->state == UPSTREAM_GONE) {
-        end_flow(packet, verdict, RULE_UPSTREAM_GONE);
+        refuse_open(packet, verdict, RULE_UPSTREAM_GONE);
         return;
     }
-    follow(ev, now, packet, upstream, verdict);
+    steer_by_token(ev, now, packet, upstream, verdict);
 }
 
-/* Decides about a packet. */
 void
 evidence_steer(struct evidence *ev, uint64_t now,
                const struct evidence_packet *packet,
@@ -390,7 +386,7 @@
         steer_open(ev, now, packet, verdict);
     }
     else if (ev->table->version == 0) {
-        end_with(verdict, EVIDENCE_HOLD, RULE_NO_TABLE);
+        set_verdict(verdict, EVIDENCE_HOLD, RULE_NO_TABLE);
     }
     else {
         route = route_find(ev->table, packet->destination,
@@ -400,7 +396,7 @@
         }
         else {
             counter_add(ev->counters, COUNTER_PACKETS_NO_SERVICE, 1);
-            end_with(verdict, EVIDENCE_REFUSE, RULE_NO_ROUTE);
+            set_verdict(verdict, EVIDENCE_REFUSE, RULE_NO_ROUTE);
         }
     }
     if (verdict->action == EVIDENCE_FORWARD) {
@@ -408,7 +404,6 @@
     }
 }
 
-/* Forgets flows that ended or rested too long. */
 void
 evidence_tick(struct evidence *ev, uint64_t now)
 {
@@ -418,15 +413,15 @@
     if (now < ev->sweep_at) {
         return;
     }
-    ev->sweep_at = now + SWEEP_MS;
+    ev->sweep_at = now + SWEEP_INTERVAL_MS;
     g_hash_table_iter_init(&iter, ev->flows);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         struct evidence_flow *flow = value;
-        uint64_t rest =
+        uint64_t idle_ms =
             ev->table->idle_ms ? ev->table->idle_ms : ev->flow_max_ms;
 
-        if ((flow->forget_at != 0 && now >= flow->forget_at) ||
-            now > flow->seen_at + rest) {
+        if ((flow->expire_at != 0 && now >= flow->expire_at) ||
+            now > flow->last_seen_at + idle_ms) {
             detach(ev, flow);
             g_hash_table_iter_remove(&iter);
         }
--- a/node-egress.c
+++ b/node-egress.c
@@ -55,7 +55,7 @@
               (unsigned long long)node->egress.bytes);
     if (head->kind == EGRESS_CALLER) {
         counter_add(&node->counters, COUNTER_PACKETS_UNSENT, 1);
-        evidence_note_unsent(&node->evidence, head->flow, waited);
+        evidence_note_dropped(&node->evidence, head->flow, waited);
     }
     else {
         counter_add(&node->counters, COUNTER_MSGS_UNSENT, 1);
@@ -112,7 +112,7 @@
         histogram_add(&node->histograms, HISTOGRAM_EGRESS,
                       now_us - item->put_at_us);
         if (item->head.kind == EGRESS_CALLER) {
-            evidence_note_left(&node->evidence, now_us / 1000, item->head.flow,
+            evidence_note_sent(&node->evidence, now_us / 1000, item->head.flow,
                                item->head.sequence);
         }
         g_free(item);
@@ -138,7 +138,7 @@
     case EGRESS_WAITS:
         counter_add(&node->counters, COUNTER_SENDS_WAITED, 1);
         if (head->kind == EGRESS_CALLER) {
-            evidence_note_waits(&node->evidence, head->flow);
+            evidence_note_queued(&node->evidence, head->flow);
         }
         note_dropped(node);
         if (!waited) {
--- a/node-forward.c
+++ b/node-forward.c
@@ -29,7 +29,7 @@
         guint at = (guint)((seed + i) % halls->len);
         uint32_t by = g_array_index(halls, struct evidence_hall, at).hall;
         const wire_node *carrier =
-            by != own && evidence_may_carry(&node->evidence, now, cut, by)
+            by != own && evidence_may_relay(&node->evidence, now, cut, by)
                 ? fleet_carrier(&node->fleet, now, by, seed)
                 : NULL;
 
@@ -123,13 +123,14 @@
 static void
 log_hall(const struct node *node, struct evidence_hall *hall, uint64_t now)
 {
-    bool cut = now < hall->cut_until && now >= hall->cut_at + PROBE_MS;
+    bool cut =
+        now < hall->suspected_until && now >= hall->suspected_at + PROBE_MS;
 
     if (cut && !hall->logged) {
         log_event(LOG_WARN, "hall-cut-off", "hall=%s avoided=%d",
                   name_of(node, hall->hall), now < hall->avoid_until);
     }
-    else if (hall->logged && now >= hall->cut_until) {
+    else if (hall->logged && now >= hall->suspected_until) {
         log_event(LOG_WARN, "hall-reached", "hall=%s",
                   name_of(node, hall->hall));
     }
@@ -152,9 +153,9 @@
             &g_array_index(halls, struct evidence_hall, i);
 
         log_hall(node, hall, now);
-        asks = asks || hall->asks;
-        any = any || now < hall->cut_until;
-        hall->asks = false;
+        asks = asks || hall->probe_due;
+        any = any || now < hall->suspected_until;
+        hall->probe_due = false;
     }
     if (!any) {
         node->probe_at = 0;
@@ -171,7 +172,7 @@
     const GArray *halls = node->evidence.halls;
 
     for (guint i = 0; i < halls->len; i++) {
-        if (g_array_index(halls, struct evidence_hall, i).asks) {
+        if (g_array_index(halls, struct evidence_hall, i).probe_due) {
             return true;
         }
     }
--- a/node-packets.c
+++ b/node-packets.c
@@ -126,7 +126,7 @@
               "version=%llu",
               text->flow, text->caller, text->place, text->rule,
               (unsigned long long)u->id, u->busy, u->open, verdict->candidates,
-              verdict->emptied, verdict->cold,
+              verdict->drained, verdict->warming,
               packet->first ? packet->acknowledged : 0, text->version);
 }
 
@@ -304,7 +304,8 @@
     switch (verdict.action) {
     case EVIDENCE_FORWARD:
         platform_mark_packet(head, verdict.upstream->token);
-        if (verdict.detour && node_carry(node, now, &verdict, head, length)) {
+        if (verdict.via_relay &&
+            node_carry(node, now, &verdict, head, length)) {
             break;
         }
         platform_write_prefix(bytes, verdict.upstream->id);
--- a/node-peers.c
+++ b/node-peers.c
@@ -151,7 +151,8 @@
     const wire_hello *hello = &msg->wire_msg_u.hello;
 
     if (msg->kind == WIRE_HELLO && (hello->flags & WIRE_HELLO_REPLY) != 0) {
-        evidence_hear_hall(&node->evidence, loop_now(), hello->self.hall);
+        evidence_note_hall_reply(&node->evidence, loop_now(),
+                                 hello->self.hall);
     }
 }
 
--- a/node-status.c
+++ b/node-status.c
@@ -22,7 +22,7 @@
                                  .kind = RING_FLOW,
                                  .rule = (uint8_t)verdict->rule,
                                  .first = packet->first,
-                                 .emptied = verdict->emptied,
+                                 .emptied = verdict->drained,
                                  .halls = node->upstreams.halls.revision};
 
     if (u != NULL) {
--- a/node.c
+++ b/node.c
@@ -426,7 +426,7 @@
         log_event(LOG_WARN, "stood-still", "ms=%llu",
                   (unsigned long long)(now - node->ticked_at));
         upstream_excuse(&node->upstreams, now, now - node->ticked_at);
-        evidence_distrust(&node->evidence, now);
+        evidence_pause_detection(&node->evidence, now);
     }
     node->ticked_at = now;
     counter_add(&node->counters, COUNTER_WAKEUPS, 1);
@@ -443,7 +443,7 @@
     upstream_tick(&node->upstreams, now);
     evidence_tick(&node->evidence, now);
     fleet_tick(&node->fleet, now);
-    node->evidence.place = fleet_place(&node->fleet);
+    node->evidence.rank = fleet_place(&node->fleet);
     list_owners(node, now);
     keep_upstreams(node, now);
     open_http_when_due(node, now);
@@ -469,7 +469,7 @@
                   s->flow_max_ms);
     node->evidence.overshoot_milli = s->cold_overshoot_milli;
     node->evidence.slack_milli = s->cold_slack_milli;
-    evidence_distrust(&node->evidence, loop_now());
+    evidence_pause_detection(&node->evidence, loop_now());
     node_open_egress(node);
     fleet_open(&node->fleet, loop_now(), &options, &node->upstreams);
     take_seeds(node, s);
--- a/tests/flow-evidence.c
+++ b/tests/flow-evidence.c
@@ -27,7 +27,7 @@
     upstream_open(&entry->upstreams, number, INTERVAL_MS);
     evidence_open(&entry->evidence, &entry->upstreams, &entry->counters,
                   IDLE_MS);
-    entry->evidence.place = number * GOLDEN;
+    entry->evidence.rank = number * GOLDEN;
     entry->evidence.settled = true;
     return entry;
 }
--- a/tests/steer-load.c
+++ b/tests/steer-load.c
@@ -447,7 +447,7 @@
         upstream_open(&m->sets[n], n, BEAT_MS);
         evidence_open(&m->nodes[n], &m->sets[n], m->counters, IDLE_MS);
         m->nodes[n].settled = true;
-        m->nodes[n].place = (uint32_t)(((uint64_t)n << 32) / c->nodes);
+        m->nodes[n].rank = (uint32_t)(((uint64_t)n << 32) / c->nodes);
         g_assert_true(evidence_apply(&m->nodes[n], make_table()));
         model_plan(m, m->now + 1 + n % TICK_MS, EV_TICK, n, 0, 0);
     }
--- a/tests/test-choose.c
+++ b/tests/test-choose.c
@@ -97,8 +97,8 @@
     struct upstream *first;
 
     fixture_open(&f, 2);
-    g_array_set_size(f.ev.usual_us, 1);
-    g_array_index(f.ev.usual_us, uint32_t, 0) = USUAL_US;
+    g_array_set_size(f.ev.median_us, 1);
+    g_array_index(f.ev.median_us, uint32_t, 0) = USUAL_US;
     first = g_ptr_array_index(f.upstreams.all, 0);
     set_known(first, &c->first);
     set_known(g_ptr_array_index(f.upstreams.all, 1), &c->second);
@@ -195,7 +195,7 @@
         struct fixture f;
 
         fixture_open(&f, UPSTREAMS);
-        f.ev.place = (uint32_t)(((uint64_t)n << 32) / NODES);
+        f.ev.rank = (uint32_t)(((uint64_t)n << 32) / NODES);
         for (unsigned caller = 1; caller <= FLOWS; caller++) {
             struct evidence_packet packet =
                 fixture_packet((uint16_t)caller, true, 0, 0);
--- a/tests/test-evidence.c
+++ b/tests/test-evidence.c
@@ -280,19 +280,19 @@
         fixture_register(f, now, 1, 2, false);
         return true;
     case 'z':
-        evidence_distrust(&f->ev, now);
+        evidence_pause_detection(&f->ev, now);
         return true;
     case 'w':
-        evidence_note_waits(&f->ev, flow_a());
+        evidence_note_queued(&f->ev, flow_a());
         return true;
     case 'l':
-        evidence_note_left(&f->ev, now, flow_a(), 1);
+        evidence_note_sent(&f->ev, now, flow_a(), 1);
         return true;
     case 'u':
-        evidence_note_unsent(&f->ev, flow_a(), false);
+        evidence_note_dropped(&f->ev, flow_a(), false);
         return true;
     case 'v':
-        evidence_note_unsent(&f->ev, flow_a(), true);
+        evidence_note_dropped(&f->ev, flow_a(), true);
         return true;
     default:
         return false;
--- a/tests/test-hall.c
+++ b/tests/test-hall.c
@@ -211,7 +211,7 @@
     empty(&f, c->before);
     evidence_steer(&f.ev, NOW, &packet, &verdict);
     g_assert_cmpint(verdict.rule, ==, c->rule);
-    g_assert_cmpuint(verdict.emptied, ==, c->emptied);
+    g_assert_cmpuint(verdict.drained, ==, c->emptied);
     g_assert_cmpint(verdict.action, ==,
                     c->first != 0 ? EVIDENCE_FORWARD : EVIDENCE_REFUSE);
     if (c->first != 0) {
--- a/tests/test-link.c
+++ b/tests/test-link.c
@@ -154,12 +154,12 @@
         leave(w, now, flow, packet->sequence);
         break;
     case EGRESS_WAITS:
-        evidence_note_waits(&w->f.ev, head.flow);
+        evidence_note_queued(&w->f.ev, head.flow);
         break;
     case EGRESS_COPY:
         break;
     case EGRESS_FULL:
-        evidence_note_unsent(&w->f.ev, head.flow, false);
+        evidence_note_dropped(&w->f.ev, head.flow, false);
         break;
     }
 }
@@ -172,7 +172,7 @@
 
     while ((item = egress_take(&w->egress, now * 1000)) != NULL) {
         leave(w, now, &w->flows[item->head.address], item->head.sequence);
-        evidence_note_left(&w->f.ev, now, item->head.flow,
+        evidence_note_sent(&w->f.ev, now, item->head.flow,
                            item->head.sequence);
         g_free(item);
     }
--- a/tests/test-reach.c
+++ b/tests/test-reach.c
@@ -96,19 +96,19 @@
 
     switch (step[0]) {
     case 'm':
-        evidence_reach_missed(&f->ev, now, u);
+        evidence_reach_note_timeout(&f->ev, now, u);
         break;
     case 'a':
-        evidence_reach_answered(&f->ev, now, u);
+        evidence_reach_note_answer(&f->ev, now, u);
         break;
     case 'o':
-        evidence_reach_opened(&f->ev, now, u, now - 20);
+        evidence_reach_note_open(&f->ev, now, u, now - 20);
         break;
     case 'h':
-        evidence_hear_hall(&f->ev, now, hall_by(step[1]));
+        evidence_note_hall_reply(&f->ev, now, hall_by(step[1]));
         break;
     default:
-        evidence_distrust(&f->ev, now);
+        evidence_pause_detection(&f->ev, now);
         break;
     }
     return now;
@@ -133,14 +133,14 @@
     }
     now += 10;
     for (const char *hall = "abc"; *hall != '\0'; hall++) {
-        if (evidence_is_cut(&f.ev, now, hall_by(*hall))) {
+        if (evidence_hall_is_suspected(&f.ev, now, hall_by(*hall))) {
             g_string_append_c(cut, *hall);
         }
-        if (evidence_is_avoided(&f.ev, now, hall_by(*hall))) {
+        if (evidence_hall_is_avoided(&f.ev, now, hall_by(*hall))) {
             g_string_append_c(avoided, *hall);
         }
-        if (evidence_is_cut(&f.ev, now, hall_by('b')) &&
-            evidence_may_carry(&f.ev, now, hall_by('b'), hall_by(*hall))) {
+        if (evidence_hall_is_suspected(&f.ev, now, hall_by('b')) &&
+            evidence_may_relay(&f.ev, now, hall_by('b'), hall_by(*hall))) {
             g_string_append_c(by, *hall);
         }
     }
@@ -182,22 +182,22 @@
         upstream_by_id(&f.upstreams, id)->open = id == 3 ? 0 : 1;
     }
     verdict = steer(&f, NOW, 7, 4, 1);
-    g_assert_false(verdict.detour);
+    g_assert_false(verdict.via_relay);
     verdict = steer(&f, NOW + 10, 8, 0, 0);
     g_assert_cmpuint(verdict.upstream->id, ==, 3);
     verdict = steer(&f, NOW + 210, 8, 0, 1);
     g_assert_cmpint(verdict.rule, ==, RULE_MOVED_OFF);
     g_assert_cmpstr(verdict.upstream->hall, !=, "b");
-    g_assert_false(verdict.detour);
+    g_assert_false(verdict.via_relay);
     verdict = steer(&f, NOW + 220, 7, 4, 2);
-    g_assert_true(verdict.detour);
+    g_assert_true(verdict.via_relay);
     for (uint16_t caller = 100; caller < 200; caller++) {
         verdict = steer(&f, NOW + 230, caller, 0, 0);
         g_assert_cmpstr(verdict.upstream->hall, !=, "b");
     }
-    evidence_hear_hall(&f.ev, NOW + 240, hall_by('b'));
+    evidence_note_hall_reply(&f.ev, NOW + 240, hall_by('b'));
     verdict = steer(&f, NOW + 250, 7, 4, 3);
-    g_assert_false(verdict.detour);
+    g_assert_false(verdict.via_relay);
     verdict = steer(&f, NOW + 3000, 201, 0, 0);
     g_assert_cmpstr(verdict.upstream->hall, ==, "b");
     fixture_close(&f);
@@ -213,11 +213,12 @@
     fixture_open(&f, UPSTREAMS);
     set_halls(&f);
     for (uint64_t id = 1; id <= UPSTREAMS; id++) {
-        evidence_reach_missed(&f.ev, NOW, upstream_by_id(&f.upstreams, id));
+        evidence_reach_note_timeout(&f.ev, NOW,
+                                    upstream_by_id(&f.upstreams, id));
     }
     verdict = steer(&f, NOW + 10, 8, 0, 0);
     g_assert_cmpint(verdict.action, ==, EVIDENCE_FORWARD);
-    g_assert_false(verdict.detour);
+    g_assert_false(verdict.via_relay);
     fixture_close(&f);
 }
 
--- a/tests/test-warmup.c
+++ b/tests/test-warmup.c
@@ -116,7 +116,7 @@
         upstream_open(&f->upstreams, SELF + n, INTERVAL_MS);
         evidence_open(&f->ev, &f->upstreams, &f->counters, 60000);
         f->ev.settled = true;
-        f->ev.place = (uint32_t)(((uint64_t)n << 32) / NODES);
+        f->ev.rank = (uint32_t)(((uint64_t)n << 32) / NODES);
         f->ev.overshoot_milli = 1500;
         f->ev.slack_milli = 5000;
         know(f, n, scene->view);
@@ -283,7 +283,7 @@
     evidence_steer(&nodes[0].ev, NOW, &packet, &verdict);
     g_assert_cmpint(verdict.action, ==, EVIDENCE_REFUSE);
     g_assert_cmpint(verdict.rule, ==, RULE_ALL_COLD);
-    g_assert_cmpuint(verdict.cold, ==, 4);
+    g_assert_cmpuint(verdict.warming, ==, 4);
     evidence_steer(&nodes[0].ev, NOW + COLD_MS, &packet, &verdict);
     g_assert_cmpint(verdict.action, ==, EVIDENCE_FORWARD);
     close_nodes();
