--- a/egress.c
+++ b/egress.c
@@ -1,42 +1,37 @@
-/* The order in which datagrams leave by a node's link, and the link's rate. */
+/* Token bucket and fair queueing of outgoing datagrams. */
 #include "egress.h"
 
 #include <string.h>
 
 #include "fault.h"
 
-/* Of the link's rate, what datagrams are offered, in hundredths; connections
- * of HTTP take the rest. */
+/* Share of the link rate; HTTP connections use the rest. */
 #define RATE_PERCENT 97U
-/* A link that rested takes so much at once. */
+/* Token bucket depth. */
 #define BURST_MS 10
-/* Before each datagram stand the heads of IP and UDP (RFC 791, RFC 768). */
-#define HEADERS_BYTES 28U
-/* No more waits than leaves within so long: callers have sent it again by
- * then, or have given up. */
-#define WAIT_MS 1000U
-/* But no less than the largest datagram and some others, */
-#define LIMIT_LEAST (128U * 1024U)
-/* and no more than this, since it is memory. */
-#define LIMIT_MOST (4U * 1024U * 1024U)
-/* Bytes that a queue may send in one turn: one large packet of a caller. */
-#define TURN_BYTES 1240
-/* The same for copies of what other nodes hold too. They wait best, but must
- * arrive in the end. */
-#define BULK_TURN_BYTES (TURN_BYTES / 10)
+/* IPv4 and UDP headers (RFC 791, RFC 768). */
+#define HEADER_BYTES 28U
+/* Queue limit in time: later the caller has retransmitted or timed out. */
+#define QUEUE_MS 1000U
+/* At least the largest datagram and a few more. */
+#define LIMIT_MIN_BYTES (128U * 1024U)
+/* Memory bound. */
+#define LIMIT_MAX_BYTES (4U * 1024U * 1024U)
+/* One large packet of a caller. */
+#define QUANTUM_BYTES 1240
+/* Low priority without starvation. */
+#define BULK_QUANTUM_BYTES (QUANTUM_BYTES / 10)
 #define MILLI 1000
 #define BITS 8
 
-/* Datagrams of one flow, in order. */
 struct egress_queue {
-    uint64_t key;    /* in the table of queues */
+    uint64_t key;
     GQueue items;    /* struct egress_item */
-    uint64_t bytes;  /* of them */
-    int64_t allowed; /* bytes left of its turn */
-    int64_t turn;    /* bytes that a turn adds */
+    uint64_t bytes;  /* queued bytes */
+    int64_t deficit; /* bytes that it may still send in this round */
+    int64_t quantum; /* bytes added per round */
 };
 
-/* Names a kind. */
 const char *
 egress_kind_name(enum egress_kind kind)
 {
@@ -51,23 +46,22 @@
     return "";
 }
 
-/* Starts with nothing. */
 void
 egress_open(struct egress *egress, uint64_t link_kbit_s)
 {
-    uint64_t limit = link_kbit_s * WAIT_MS / BITS;
+    uint64_t limit = link_kbit_s * QUEUE_MS / BITS;
 
     memset(egress, 0, sizeof(*egress));
     egress->rate_kbit_s = link_kbit_s * RATE_PERCENT / 100;
-    egress->limit = CLAMP(limit, LIMIT_LEAST, LIMIT_MOST);
+    egress->limit = CLAMP(limit, LIMIT_MIN_BYTES, LIMIT_MAX_BYTES);
     egress->queues = g_hash_table_new(g_int64_hash, g_int64_equal);
-    egress->contents = g_hash_table_new(g_int64_hash, g_int64_equal);
-    g_queue_init(&egress->begun);
-    g_queue_init(&egress->waiting);
+    egress->content_hashes = g_hash_table_new(g_int64_hash, g_int64_equal);
+    g_queue_init(&egress->new_queues);
+    g_queue_init(&egress->old_queues);
     g_queue_init(&egress->dropped);
 }
 
-/* Frees a queue that is in no list any more. */
+/* The queue is in neither list. */
 static void
 free_queue(struct egress *egress, struct egress_queue *queue)
 {
@@ -76,9 +70,8 @@
     g_free(queue);
 }
 
-/* Frees the queues of a list. */
 static void
-free_list(struct egress *egress, GQueue *list)
+free_queues(struct egress *egress, GQueue *list)
 {
     struct egress_queue *queue;
 
@@ -87,41 +80,38 @@
     }
 }
 
-/* Frees it. */
 void
 egress_close(struct egress *egress)
 {
-    free_list(egress, &egress->begun);
-    free_list(egress, &egress->waiting);
+    free_queues(egress, &egress->new_queues);
+    free_queues(egress, &egress->old_queues);
     g_queue_clear_full(&egress->dropped, g_free);
     g_hash_table_destroy(egress->queues);
-    g_hash_table_destroy(egress->contents);
+    g_hash_table_destroy(egress->content_hashes);
 }
 
-/* What a datagram takes of the link, in thousandths of a bit. */
+/* Size on the link, in 1/1000 bit. */
 static int64_t
 cost_of(uint64_t length)
 {
-    return (int64_t)((length + HEADERS_BYTES) * BITS * MILLI);
+    return (int64_t)((length + HEADER_BYTES) * BITS * MILLI);
 }
 
-/* Lets time pass: the link took bits meanwhile. */
 static void
 refill(struct egress *egress, uint64_t now_us)
 {
-    int64_t most = (int64_t)egress->rate_kbit_s * BURST_MS * MILLI;
+    int64_t burst = (int64_t)egress->rate_kbit_s * BURST_MS * MILLI;
 
-    if (now_us <= egress->at_us) {
+    if (now_us <= egress->credit_at_us) {
         return;
     }
-    /* A kbit a second is a thousandth of a bit a microsecond. */
-    egress->credit =
-        MIN(most, egress->credit + (int64_t)(egress->rate_kbit_s *
-                                             (now_us - egress->at_us)));
-    egress->at_us = now_us;
+    /* 1 kbit/s is 1/1000 bit/us. */
+    egress->credit = MIN(
+        burst, egress->credit + (int64_t)(egress->rate_kbit_s *
+                                          (now_us - egress->credit_at_us)));
+    egress->credit_at_us = now_us;
 }
 
-/* The key of a datagram's queue. */
 static uint64_t
 key_of(const struct egress_head *head)
 {
@@ -131,7 +121,7 @@
     return head->kind == EGRESS_CALLER ? head->flow : (uint64_t)head->kind;
 }
 
-/* The queue of a datagram; begins one when there is none. */
+/* Finds or creates the queue of a datagram. */
 static struct egress_queue *
 queue_of(struct egress *egress, const struct egress_head *head)
 {
@@ -143,30 +133,31 @@
     }
     queue = g_new0(struct egress_queue, 1);
     queue->key = key;
-    queue->turn = head->kind == EGRESS_BULK ? BULK_TURN_BYTES : TURN_BYTES;
-    queue->allowed = queue->turn;
+    queue->quantum =
+        head->kind == EGRESS_BULK ? BULK_QUANTUM_BYTES : QUANTUM_BYTES;
+    queue->deficit = queue->quantum;
     g_queue_init(&queue->items);
     (void)g_hash_table_insert(egress->queues, &queue->key, queue);
-    g_queue_push_tail(
-        head->kind == EGRESS_BULK ? &egress->waiting : &egress->begun, queue);
+    g_queue_push_tail(head->kind == EGRESS_BULK ? &egress->old_queues
+                                                : &egress->new_queues,
+                      queue);
     return queue;
 }
 
-/* Takes a datagram off what waits. */
 static void
-take_off(struct egress *egress, struct egress_queue *queue,
-         const struct egress_item *item)
+remove_item(struct egress *egress, struct egress_queue *queue,
+            const struct egress_item *item)
 {
     queue->bytes -= item->length;
     egress->bytes -= item->length;
-    if (item->head.content != 0) {
-        (void)g_hash_table_remove(egress->contents, &item->head.content);
+    if (item->head.content_hash != 0) {
+        (void)g_hash_table_remove(egress->content_hashes,
+                                  &item->head.content_hash);
     }
 }
 
-/* The queue in which most waits. */
 static struct egress_queue *
-longest(const struct egress *egress)
+longest_queue(const struct egress *egress)
 {
     struct egress_queue *most = NULL;
     GHashTableIter iter;
@@ -183,8 +174,8 @@
     return most;
 }
 
-/* Makes room for a datagram, at the cost of queues that are longer than its
- * own; false when there are none. */
+/* Drops the tails of longer queues until the datagram fits; false when its own
+ * queue is the longest. */
 static bool
 make_room(struct egress *egress, const struct egress_head *head,
           uint64_t length)
@@ -192,20 +183,19 @@
     uint64_t key = key_of(head);
 
     while (egress->bytes + length > egress->limit) {
-        struct egress_queue *queue = longest(egress);
+        struct egress_queue *queue = longest_queue(egress);
         struct egress_item *item;
 
         if (queue == NULL || queue->bytes == 0 || queue->key == key) {
             return false;
         }
         item = g_queue_pop_tail(&queue->items);
-        take_off(egress, queue, item);
+        remove_item(egress, queue, item);
         g_queue_push_tail(&egress->dropped, item);
     }
     return true;
 }
 
-/* Lets a datagram wait. */
 static void
 append(struct egress *egress, struct egress_item *item)
 {
@@ -214,95 +204,94 @@
     g_queue_push_tail(&queue->items, item);
     queue->bytes += item->length;
     egress->bytes += item->length;
-    if (item->head.content != 0) {
-        (void)g_hash_table_add(egress->contents, &item->head.content);
+    if (item->head.content_hash != 0) {
+        (void)g_hash_table_add(egress->content_hashes,
+                               &item->head.content_hash);
     }
 }
 
-/* Takes a datagram. */
-enum egress_fate
-egress_put(struct egress *egress, uint64_t now_us,
-           const struct egress_head *head, const uint8_t *first,
-           size_t first_length, const uint8_t *second, size_t second_length)
+enum egress_result
+egress_enqueue(struct egress *egress, uint64_t now_us,
+               const struct egress_head *head, const uint8_t *first,
+               size_t first_length, const uint8_t *second,
+               size_t second_length)
 {
     size_t length = first_length + second_length;
     struct egress_item *item;
 
     if (egress->rate_kbit_s == 0 || fault_is(FAULT_NO_EGRESS)) {
-        return EGRESS_NOW;
+        return EGRESS_SEND_NOW;
     }
     refill(egress, now_us);
     if (egress->bytes == 0 && egress->credit > 0) {
         egress->credit -= cost_of(length);
-        return EGRESS_NOW;
+        return EGRESS_SEND_NOW;
     }
-    if (head->content != 0 && !fault_is(FAULT_NO_COPIES) &&
-        g_hash_table_contains(egress->contents, &head->content)) {
-        return EGRESS_COPY;
+    if (head->content_hash != 0 && !fault_is(FAULT_NO_COPIES) &&
+        g_hash_table_contains(egress->content_hashes, &head->content_hash)) {
+        return EGRESS_DUPLICATE;
     }
     if (!make_room(egress, head, length)) {
-        return EGRESS_FULL;
+        return EGRESS_QUEUE_FULL;
     }
     item = g_malloc(sizeof(*item) + length);
     item->head = *head;
-    item->put_at_us = now_us;
+    item->enqueued_at_us = now_us;
     item->length = length;
     memcpy(item->bytes, first, first_length);
     if (second_length > 0) {
         memcpy(item->bytes + first_length, second, second_length);
     }
     append(egress, item);
-    return EGRESS_WAITS;
+    return EGRESS_QUEUED;
 }
 
-/* Moves the first queue of a list to the end of those that wait. One that has
- * just begun goes there also when it is empty, so that it cannot begin again
- * and again before the others. */
+/* Moves the first queue of a list to the end of the old ones. An empty new
+ * queue goes there too, since its flow could otherwise stay in the new list
+ * and starve the old ones (RFC 8290, section 4.2). */
 static void
 rotate(struct egress *egress, GQueue *list)
 {
-    g_queue_push_tail(&egress->waiting, g_queue_pop_head(list));
+    g_queue_push_tail(&egress->old_queues, g_queue_pop_head(list));
 }
 
-/* Says whether a datagram is not to be sent any more. */
 static bool
-is_late(const struct egress_item *item, uint64_t now_us)
+is_expired(const struct egress_item *item, uint64_t now_us)
 {
-    return item->head.leave_by_us != 0 && now_us > item->head.leave_by_us;
+    return item->head.deadline_us != 0 && now_us > item->head.deadline_us;
 }
 
-/* The next datagram that the link takes now. */
 struct egress_item *
-egress_take(struct egress *egress, uint64_t now_us)
+egress_dequeue(struct egress *egress, uint64_t now_us)
 {
     refill(egress, now_us);
     while (egress->credit > 0) {
-        GQueue *list =
-            egress->begun.length > 0 ? &egress->begun : &egress->waiting;
+        GQueue *list = egress->new_queues.length > 0 ? &egress->new_queues
+                                                     : &egress->old_queues;
         struct egress_queue *queue = g_queue_peek_head(list);
         struct egress_item *item;
 
         if (queue == NULL) {
             return NULL;
         }
-        if (queue->allowed <= 0) {
-            queue->allowed += queue->turn;
+        if (queue->deficit <= 0) {
+            queue->deficit += queue->quantum;
             rotate(egress, list);
             continue;
         }
         item = g_queue_pop_head(&queue->items);
-        if (item != NULL && is_late(item, now_us)) {
-            take_off(egress, queue, item);
+        if (item != NULL && is_expired(item, now_us)) {
+            remove_item(egress, queue, item);
             g_queue_push_tail(&egress->dropped, item);
             continue;
         }
         if (item != NULL) {
-            queue->allowed -= (int64_t)item->length;
+            queue->deficit -= (int64_t)item->length;
             egress->credit -= cost_of(item->length);
-            take_off(egress, queue, item);
+            remove_item(egress, queue, item);
             return item;
         }
-        if (list == &egress->begun) {
+        if (list == &egress->new_queues) {
             rotate(egress, list);
             continue;
         }
@@ -312,14 +301,12 @@
     return NULL;
 }
 
-/* The next one that was dropped. */
 struct egress_item *
-egress_take_dropped(struct egress *egress)
+egress_pop_dropped(struct egress *egress)
 {
     return g_queue_pop_head(&egress->dropped);
 }
 
-/* Counts bytes that left otherwise. */
 void
 egress_charge(struct egress *egress, uint64_t bytes)
 {
@@ -328,7 +315,6 @@
     }
 }
 
-/* When the link takes the next datagram. */
 uint64_t
 egress_due_us(const struct egress *egress)
 {
@@ -336,7 +322,8 @@
         return UINT64_MAX;
     }
     if (egress->credit > 0) {
-        return egress->at_us;
+        return egress->credit_at_us;
     }
-    return egress->at_us + (uint64_t)-egress->credit / egress->rate_kbit_s + 1;
+    return egress->credit_at_us +
+           (uint64_t)-egress->credit / egress->rate_kbit_s + 1;
 }
--- a/evidence-choose.c
+++ b/evidence-choose.c
@@ -41,7 +41,7 @@
             ((upstream->state == UPSTREAM_SILENT ||
               upstream->state == UPSTREAM_LOST) &&
              !fault_is(FAULT_NO_LAST_RESORT))) &&
-           upstream->named;
+           upstream->has_token;
 }
 
 /* A drained hall gets no new flows even without an alternative: the caller
@@ -50,7 +50,7 @@
 evidence_accepts_flows(const struct upstream *upstream)
 {
     return may_accept_flows(upstream) &&
-           (!upstream->emptied || fault_is(FAULT_HALLS_IGNORED));
+           (!upstream->drained || fault_is(FAULT_HALLS_IGNORED));
 }
 
 /* Whether the warmup limit of an upstream applies now. */
@@ -58,8 +58,8 @@
 is_rate_limited(const struct evidence *ev, const struct upstream *upstream,
                 uint64_t now)
 {
-    return upstream_is_cold(upstream, now) &&
-           upstream_limit(ev->upstreams, upstream->service).bounded &&
+    return upstream_is_warming_up(upstream, now) &&
+           upstream_warmup_limit(ev->upstreams, upstream->service).bounded &&
            !fault_is(FAULT_NO_WARMUP);
 }
 
@@ -68,13 +68,15 @@
 static bool
 is_owner(const struct evidence *ev, struct upstream *upstream)
 {
-    uint32_t owners = upstream_limit(ev->upstreams, upstream->service).owners;
+    uint32_t owners =
+        upstream_warmup_limit(ev->upstreams, upstream->service).owners;
 
-    if (upstream->owned_of != ev->nodes.version) {
-        upstream->owned_of = ev->nodes.version;
-        upstream->owned = warmup_owns(&ev->nodes, owners, upstream->id);
+    if (upstream->owners_version != ev->nodes.version) {
+        upstream->owners_version = ev->nodes.version;
+        upstream->is_warmup_owner =
+            warmup_is_owner(&ev->nodes, owners, upstream->id);
     }
-    return upstream->owned || fault_is(FAULT_ALL_OWN);
+    return upstream->is_warmup_owner || fault_is(FAULT_ALL_OWN);
 }
 
 /* Whether this node may send an upstream a new flow now. */
@@ -83,7 +85,7 @@
               uint64_t now)
 {
     return !is_rate_limited(ev, upstream, now) ||
-           (now >= upstream->cold_next_at && is_owner(ev, upstream));
+           (now >= upstream->warmup_next_at && is_owner(ev, upstream));
 }
 
 /* Non-idempotent flows avoid a former outlier for PROBATION_MS longer. */
@@ -91,8 +93,8 @@
 is_outlier(const struct upstream *upstream, uint64_t now,
            const struct evidence_verdict *verdict)
 {
-    return upstream->sick_until != 0 &&
-           now < upstream->sick_until +
+    return upstream->ejected_until != 0 &&
+           now < upstream->ejected_until +
                      (verdict->non_idempotent ? PROBATION_MS : 0);
 }
 
@@ -141,7 +143,7 @@
         return 0;
     }
     load = load * LOAD_SCALE / upstream->slots;
-    if (upstream_is_cold(upstream, now) && !fault_is(FAULT_NO_COLD)) {
+    if (upstream_is_warming_up(upstream, now) && !fault_is(FAULT_NO_COLD)) {
         load = load * WARMING_WEIGHT_TENTHS / 10;
     }
     return load * evidence_slowness(ev, now, upstream);
--- a/evidence-liveness.c
+++ b/evidence-liveness.c
@@ -112,7 +112,8 @@
 {
     struct upstream *upstream = upstream_by_id(ev->upstreams, flow->upstream);
 
-    return upstream != NULL && upstream->born == flow->upstream_started_at
+    return upstream != NULL &&
+                   upstream->started_at == flow->upstream_started_at
                ? upstream
                : NULL;
 }
@@ -148,17 +149,17 @@
     uint32_t latency_us =
         (uint32_t)(now - flow->unanswered_since) * 1000U + 500U;
     uint32_t *median_us = median_of(ev, upstream->service);
-    int64_t difference = (int64_t)latency_us - (int64_t)upstream->took_us;
+    int64_t difference = (int64_t)latency_us - (int64_t)upstream->latency_us;
 
     if (flow->retransmitted_at != flow->unanswered_since) {
         return;
     }
     evidence_note_response(ev, now, packet, upstream, latency_us);
-    upstream->took_us = upstream->took_us == 0
-                            ? latency_us
-                            : (uint32_t)((int64_t)upstream->took_us +
-                                         difference / LATENCY_DIVISOR);
-    upstream->took_until = now + LATENCY_TIMEOUT_MS;
+    upstream->latency_us = upstream->latency_us == 0
+                               ? latency_us
+                               : (uint32_t)((int64_t)upstream->latency_us +
+                                            difference / LATENCY_DIVISOR);
+    upstream->latency_until = now + LATENCY_TIMEOUT_MS;
     if (*median_us == 0) {
         *median_us = latency_us;
     }
@@ -181,10 +182,10 @@
     uint32_t ratio;
 
     if (fault_is(FAULT_NO_TOOK) || median_us == 0 ||
-        now >= upstream->took_until) {
+        now >= upstream->latency_until) {
         return 1;
     }
-    ratio = upstream->took_us / median_us;
+    ratio = upstream->latency_us / median_us;
     return ratio < SLOW_MIN ? 1 : MIN(ratio, SLOW_MAX);
 }
 
@@ -204,14 +205,15 @@
     flow->has_next_sequence = false;
     flow->gap = false;
     upstream->suspect_until = 0;
-    upstream->alive_at = now;
-    if (upstream->doubt_at != 0 ||
-        (upstream->state == UPSTREAM_SILENT && now >= upstream->vouch_at)) {
-        struct upstream_doubt alive_report = {.id = upstream->id};
-
-        upstream->doubt_at = 0;
-        upstream->vouch_at = now + ALIVE_REPORT_INTERVAL_MS;
-        g_array_append_val(ev->upstreams->doubted, alive_report);
+    upstream->last_progress_at = now;
+    if (upstream->next_suspicion_at != 0 ||
+        (upstream->state == UPSTREAM_SILENT &&
+         now >= upstream->next_alive_report_at)) {
+        struct upstream_suspicion alive_report = {.id = upstream->id};
+
+        upstream->next_suspicion_at = 0;
+        upstream->next_alive_report_at = now + ALIVE_REPORT_INTERVAL_MS;
+        g_array_append_val(ev->upstreams->suspicions, alive_report);
     }
     evidence_set_idle(ev, flow);
 }
@@ -228,10 +230,10 @@
     for (guint i = 0; i < all->len; i++) {
         const struct upstream *u = g_ptr_array_index(all, i);
 
-        if (now < u->doubt_at + OWN_LINK_WINDOW_MS) {
+        if (now < u->next_suspicion_at + OWN_LINK_WINDOW_MS) {
             suspected++;
         }
-        else if (now < u->alive_at + OWN_LINK_WINDOW_MS) {
+        else if (now < u->last_progress_at + OWN_LINK_WINDOW_MS) {
             answered++;
         }
     }
@@ -246,20 +248,20 @@
 report_unanswered(struct evidence *ev, uint64_t now,
                   const struct evidence_flow *flow, struct upstream *upstream)
 {
-    struct upstream_doubt report = {
+    struct upstream_suspicion report = {
         .id = upstream->id,
         .quiet_ms = (uint32_t)(now - flow->unanswered_since)};
 
     if (fault_is(FAULT_NO_DOUBT) || now < ev->detection_paused_until ||
-        now < upstream->doubt_at ||
+        now < upstream->next_suspicion_at ||
         (upstream->state != UPSTREAM_READY &&
          upstream->state != UPSTREAM_SILENT) ||
-        upstream->alive_at > flow->unanswered_since) {
+        upstream->last_progress_at > flow->unanswered_since) {
         return;
     }
-    upstream->doubt_at = now + REPORT_INTERVAL_MS;
+    upstream->next_suspicion_at = now + REPORT_INTERVAL_MS;
     if (!is_own_link_suspected(ev, now)) {
-        g_array_append_val(ev->upstreams->doubted, report);
+        g_array_append_val(ev->upstreams->suspicions, report);
     }
 }
 
@@ -373,7 +375,7 @@
                   const struct upstream *upstream, uint64_t now)
 {
     return upstream->state == UPSTREAM_LOST && flow->unanswered_since != 0 &&
-           now > upstream->alive_at + LOST_ALIVE_TIMEOUT_MS;
+           now > upstream->last_progress_at + LOST_ALIVE_TIMEOUT_MS;
 }
 
 /* Whether a node other than this one detected missing registrations or
@@ -384,7 +386,8 @@
     return (upstream->state == UPSTREAM_SILENT ||
             upstream->state == UPSTREAM_LOST) &&
            (upstream->keeper != ev->upstreams->self ||
-            upstream->doubts.decide_at != 0 || upstream->doubts.proved);
+            upstream->suspicions.decide_at != 0 ||
+            upstream->suspicions.confirmed);
 }
 
 /* A full link, a queue or a stall of this node looks like a failed upstream,
@@ -402,5 +405,5 @@
     return is_lost_by_quorum(flow, upstream, now) ||
            (is_missed_elsewhere(ev, upstream) && flow->unanswered_since != 0 &&
             flow->confirmed_timeouts >= LOST_TIMEOUTS &&
-            upstream->alive_at <= flow->unanswered_since);
+            upstream->last_progress_at <= flow->unanswered_since);
 }
--- a/evidence-outlier.c
+++ b/evidence-outlier.c
@@ -60,10 +60,12 @@
                  latency_us < baseline->median_us / EARLY_DIVISOR;
 
     update_median(baseline, latency_us);
-    if (early && now >= upstream->too_soon_at && !fault_is(FAULT_NO_SICK)) {
-        struct upstream_doubt report = {.id = upstream->id, .too_soon = true};
+    if (early && now >= upstream->next_outlier_report_at &&
+        !fault_is(FAULT_NO_SICK)) {
+        struct upstream_suspicion report = {.id = upstream->id,
+                                            .outlier = true};
 
-        upstream->too_soon_at = now + REPORT_INTERVAL_MS;
-        g_array_append_val(ev->upstreams->doubted, report);
+        upstream->next_outlier_report_at = now + REPORT_INTERVAL_MS;
+        g_array_append_val(ev->upstreams->suspicions, report);
     }
 }
--- a/evidence-verify.c
+++ b/evidence-verify.c
@@ -38,7 +38,7 @@
     const struct upstream *upstream = upstream_by_id(upstreams, record->peer);
 
     return upstream == NULL || record->halls != upstreams->halls.revision ||
-           !upstream->emptied;
+           !upstream->drained;
 }
 
 /* Counts the upstreams of a flow's service in drained halls. */
@@ -54,7 +54,7 @@
         const struct upstream *u = g_ptr_array_index(upstreams->all, i);
 
         count +=
-            u->emptied &&
+            u->drained &&
             hash_name(upstream_service_name(upstreams, u->service)) == service;
     }
     return count;
--- a/evidence.c
+++ b/evidence.c
@@ -91,11 +91,11 @@
         const struct route_warmup *warmup =
             &g_array_index(table->warmups, struct route_warmup, i);
         struct warmup_limit limit =
-            warmup_limit_of(warmup->cold_ms, warmup->rate_milli,
+            warmup_limit_of(warmup->warmup_ms, warmup->rate_milli,
                             ev->overshoot_milli, ev->slack_milli);
 
-        upstream_set_limit(set, upstream_service(set, warmup->service),
-                           &limit);
+        upstream_set_warmup_limit(set, upstream_service(set, warmup->service),
+                                  &limit);
         ev->bounded = ev->bounded || limit.bounded;
     }
 }
@@ -150,7 +150,7 @@
 attach(struct evidence_flow *flow, struct upstream *upstream, uint64_t now)
 {
     flow->upstream = upstream->id;
-    flow->upstream_started_at = upstream->born;
+    flow->upstream_started_at = upstream->started_at;
     flow->opened_at = now;
     flow->answered = false;
     flow->has_next_sequence = false;
@@ -204,7 +204,7 @@
                const struct evidence_packet *packet, struct upstream *upstream)
 {
     if (upstream == NULL || upstream->state != UPSTREAM_READY ||
-        upstream->emptied) {
+        upstream->drained) {
         return false;
     }
     if (packet->acknowledged == 0 || flow->answered ||
@@ -220,7 +220,7 @@
         upstream->suspect_until = now + SUSPICION_TIMEOUT_MS;
     }
     return packet->acknowledged == 1 &&
-           now <= upstream->alive_at + ALIVE_TIMEOUT_MS;
+           now <= upstream->last_progress_at + ALIVE_TIMEOUT_MS;
 }
 
 /* Opens a flow at the chosen upstream; `flow` is NULL when it has no record.
@@ -238,8 +238,8 @@
         counter_add(ev->counters, COUNTER_FLOWS_MOVED_OFF, 1);
     }
     flow = bind_flow(ev, now, verdict->flow, flow, upstream);
-    if (upstream_is_cold(upstream, now)) {
-        upstream->cold_next_at = now + WARMUP_PACE_MS;
+    if (upstream_is_warming_up(upstream, now)) {
+        upstream->warmup_next_at = now + WARMUP_FLOW_INTERVAL_MS;
     }
     flow->last_seen_at = now;
     flow->expire_at = 0;
@@ -269,7 +269,7 @@
     const struct route_target *target = route_pick(route, verdict->flow);
     struct upstream *upstream;
 
-    verdict->non_idempotent = route->kind == ROUTE_ONCE;
+    verdict->non_idempotent = route->kind == ROUTE_NON_IDEMPOTENT;
     if (flow != NULL && keeps_upstream(ev, now, flow, packet, previous)) {
         flow->last_seen_at = now;
         set_forward(verdict, previous, RULE_SAME_AGAIN);
--- a/fleet-inventory.c
+++ b/fleet-inventory.c
@@ -88,7 +88,7 @@
         }
         else {
             g->marks[g->mark_count++] =
-                (wire_mark){u->token, upstream_mark(u)};
+                (wire_mark){u->token, upstream_digest(u)};
         }
     }
 }
@@ -176,7 +176,7 @@
         const struct upstream *u =
             upstream_by_token(fleet->upstreams, marks[i].token);
 
-        if (u == NULL || upstream_mark(u) != marks[i].about) {
+        if (u == NULL || upstream_digest(u) != marks[i].about) {
             tokens[needed++] = marks[i].token;
         }
     }
@@ -324,7 +324,7 @@
 
         if (!g_hash_table_lookup_extended(theirs, GUINT_TO_POINTER(u->token),
                                           NULL, &about) ||
-            GPOINTER_TO_UINT(about) != upstream_mark(u)) {
+            GPOINTER_TO_UINT(about) != upstream_digest(u)) {
             upstream_pack(fleet->upstreams, now, u,
                           &g->records[g->record_count++]);
         }
--- a/fleet-send.c
+++ b/fleet-send.c
@@ -196,11 +196,11 @@
 fleet_take_doubt(struct fleet *fleet, uint64_t now, const wire_doubt *doubt)
 {
     if (doubt->too_soon) {
-        upstream_take_too_soon(fleet->upstreams, now, doubt->id, doubt->node);
+        upstream_report_outlier(fleet->upstreams, now, doubt->id, doubt->node);
     }
     else {
-        upstream_take_doubt(fleet->upstreams, now, doubt->id, doubt->node,
-                            doubt->quiet_ms);
+        upstream_report_suspicion(fleet->upstreams, now, doubt->id,
+                                  doubt->node, doubt->quiet_ms);
     }
 }
 
@@ -210,9 +210,9 @@
 {
     struct upstream_set *set = fleet->upstreams;
 
-    for (guint i = 0; i < set->doubted->len; i++) {
-        const struct upstream_doubt *doubt =
-            &g_array_index(set->doubted, struct upstream_doubt, i);
+    for (guint i = 0; i < set->suspicions->len; i++) {
+        const struct upstream_suspicion *doubt =
+            &g_array_index(set->suspicions, struct upstream_suspicion, i);
         const struct upstream *u = upstream_by_id(set, doubt->id);
         wire_msg msg = {.kind = WIRE_DOUBT};
 
@@ -222,11 +222,11 @@
         msg.wire_msg_u.doubt.node = fleet->self.address;
         msg.wire_msg_u.doubt.id = doubt->id;
         msg.wire_msg_u.doubt.quiet_ms = doubt->quiet_ms;
-        msg.wire_msg_u.doubt.too_soon = doubt->too_soon;
+        msg.wire_msg_u.doubt.too_soon = doubt->outlier;
         fleet_send(fleet, u->keeper, &msg);
         fleet_take_doubt(fleet, now, &msg.wire_msg_u.doubt);
     }
-    g_array_set_size(set->doubted, 0);
+    g_array_set_size(set->suspicions, 0);
 }
 
 /* Asks two members drawn by lot, and the leader, for upstreams that this node
@@ -234,7 +234,7 @@
 static void
 ask_unsure(struct fleet *fleet)
 {
-    GArray *unsure = fleet->upstreams->unsure;
+    GArray *unsure = fleet->upstreams->queries;
     wire_msg msg = {.kind = WIRE_NEED};
     wire_need *need = &msg.wire_msg_u.need;
 
--- a/fleet.c
+++ b/fleet.c
@@ -169,7 +169,7 @@
 static bool
 take_halls(struct fleet *fleet, uint64_t now, const wire_halls *halls)
 {
-    if (!upstream_empty_halls(fleet->upstreams, now, halls)) {
+    if (!upstream_drain_halls(fleet->upstreams, now, halls)) {
         return false;
     }
     fleet_act(fleet, FLEET_HALLS);
--- a/hall.c
+++ b/hall.c
@@ -1,4 +1,4 @@
-/* Halls that are emptied: applying orders, and which of two sets is newer. */
+/* Applying drain orders and replacing older sets. */
 #include "hall.h"
 
 #include <glib.h>
@@ -6,8 +6,7 @@
 
 #include "fault.h"
 
-/* Says whether a name may be a hall's. It is written into paths, logs and
- * pages as it is. */
+/* Names appear unescaped in URL paths, logs and JSON. */
 bool
 hall_is_name(const char *name)
 {
@@ -21,9 +20,9 @@
     return length > 0 && length <= HALL_NAME_MAX;
 }
 
-/* Place of a hall; the count when it is not emptied. */
+/* Index of a hall; the count when it is not drained. */
 static size_t
-place_of(const struct hall_set *set, const char *name)
+find_hall(const struct hall_set *set, const char *name)
 {
     size_t i = 0;
 
@@ -33,14 +32,13 @@
     return i;
 }
 
-/* Applies an order. */
 bool
 hall_apply(struct hall_set *set, uint64_t index, const wire_hall_order *order)
 {
-    size_t place = place_of(set, order->hall);
-    bool is_emptied = place < set->count;
+    size_t at = find_hall(set, order->hall);
+    bool is_drained = at < set->count;
 
-    if (is_emptied == order->emptied ||
+    if (is_drained == order->emptied ||
         (order->emptied && set->count == HALL_MAX)) {
         return false;
     }
@@ -52,41 +50,39 @@
     }
     else {
         set->count--;
-        memmove(&set->all[place], &set->all[place + 1],
-                (set->count - place) * sizeof(set->all[0]));
+        memmove(&set->all[at], &set->all[at + 1],
+                (set->count - at) * sizeof(set->all[0]));
     }
     set->revision = index;
     return true;
 }
 
-/* Takes a set that another node told. */
 bool
-hall_take(struct hall_set *set, const wire_halls *told)
+hall_update(struct hall_set *set, const wire_halls *received)
 {
-    if (told->revision == set->revision ||
-        (told->revision < set->revision && !fault_is(FAULT_HALLS_UNORDERED))) {
+    if (received->revision == set->revision ||
+        (received->revision < set->revision &&
+         !fault_is(FAULT_HALLS_UNORDERED))) {
         return false;
     }
-    set->revision = told->revision;
+    set->revision = received->revision;
     set->count = 0;
-    for (u_int i = 0; i < told->list.list_len && i < HALL_MAX; i++) {
-        const wire_hall *from = &told->list.list_val[i];
+    for (u_int i = 0; i < received->list.list_len && i < HALL_MAX; i++) {
+        const wire_hall *record = &received->list.list_val[i];
         struct hall *hall = &set->all[set->count++];
 
-        *hall = (struct hall){.since = from->since, .wall = from->wall};
-        g_strlcpy(hall->name, from->name, sizeof(hall->name));
+        *hall = (struct hall){.since = record->since, .wall = record->wall};
+        g_strlcpy(hall->name, record->name, sizeof(hall->name));
     }
     return true;
 }
 
-/* Says whether a hall is emptied. */
 bool
-hall_is_emptied(const struct hall_set *set, const char *name)
+hall_is_drained(const struct hall_set *set, const char *name)
 {
-    return place_of(set, name) < set->count;
+    return find_hall(set, name) < set->count;
 }
 
-/* Fills a set for the wire. */
 void
 hall_pack(const struct hall_set *set, wire_hall room[HALL_MAX],
           wire_halls *out)
--- a/hall.h
+++ b/hall.h
@@ -1,9 +1,9 @@
 /**
  * @file hall.h
- * Which data halls operators have emptied: their upstreams get no new flows
- * until the hall is taken back. Voters build the list from the log; all other
- * nodes are told it whole, and the newer one holds. Pure data: knows neither
- * upstreams nor nodes.
+ * Data halls that operators have drained: their upstreams get no new flows
+ * until the hall is undrained. Voters build the list as a replicated state
+ * machine over the log (Raft); other nodes receive it whole, and the highest
+ * revision wins. Does no I/O.
  */
 #ifndef RIDGERIDGE_HALL_H
 #define RIDGERIDGE_HALL_H
@@ -16,51 +16,51 @@
 
 #define HALL_NAME_MAX WIRE_NAME_MAX
 #define HALL_MAX                                                              \
-    WIRE_HALLS_MAX /**< halls that are emptied at once: twice as many as the  \
-                        largest deployment planned for has */
+    WIRE_HALLS_MAX /**< drained halls at once: twice those of the largest     \
+                        planned deployment */
 
-/** An operator's order. */
+/** An operator's order to drain or undrain a hall. */
 struct hall_order {
-    char hall[HALL_NAME_MAX + 1]; /**< name */
-    bool emptied;                 /**< or taken back */
-    uint64_t wall;                /**< the leader's clock, ms since 1970 */
+    char hall[HALL_NAME_MAX + 1]; /**< hall name */
+    bool drained;                 /**< false: undrained */
+    uint64_t wall;                /**< leader's clock, ms since 1970 */
 };
 
-/** A hall that is emptied. */
+/** A drained hall. */
 struct hall {
-    char name[HALL_NAME_MAX + 1]; /**< as operators and upstreams write it */
-    uint64_t since;               /**< index of the entry that emptied it */
-    uint64_t wall;                /**< the leader's clock then, for operators;
-                                       ms since 1970 */
+    char name[HALL_NAME_MAX + 1]; /**< as in orders and registrations */
+    uint64_t since;               /**< index of its log entry */
+    uint64_t wall;                /**< leader's clock at that entry, ms since
+                                       1970; for display only */
 };
 
-/** All halls that are emptied. */
+/** All drained halls. */
 struct hall_set {
-    uint64_t revision;         /**< index of the entry that changed it last,
-                                    0: none did; the higher holds */
-    size_t count;              /**< of the halls */
-    struct hall all[HALL_MAX]; /**< in the order of their entries */
+    uint64_t revision;         /**< index of the last log entry that changed
+                                    it, 0: none; the highest wins */
+    size_t count;              /**< entries in `all` */
+    struct hall all[HALL_MAX]; /**< in log order */
 };
 
-/** Says whether a name may be a hall's: 1 to HALL_NAME_MAX bytes, printable
- * and without a space, a slash or a quote. */
+/** Whether a name is valid: 1 to HALL_NAME_MAX printable ASCII characters
+ * without blanks, slashes, quotes, backslashes, %, ? and #. */
 bool hall_is_name(const char *name);
 
 /**
- * Applies the order of a log entry. One that changes nothing, such as one that
- * was sent again, leaves the revision as it is.
- * @return true when the set changed; also false when it is full
+ * Applies a log entry. An order that changes nothing, such as a repeated one,
+ * leaves the revision as it is.
+ * @return true when the set changed; false also when it is full
  */
 bool hall_apply(struct hall_set *set, uint64_t index,
                 const wire_hall_order *order);
 
-/** Takes a set that another node told; true when it was newer. */
-bool hall_take(struct hall_set *set, const wire_halls *told);
+/** Replaces the set if `received` has a higher revision; true if it has. */
+bool hall_update(struct hall_set *set, const wire_halls *received);
 
-/** Says whether a hall is emptied. */
-bool hall_is_emptied(const struct hall_set *set, const char *name);
+bool hall_is_drained(const struct hall_set *set, const char *name);
 
-/** Fills a set for the wire, with room for its halls; strings are borrowed. */
+/** Fills a set for the wire; its strings are borrowed and `room` holds its
+ * halls. */
 void hall_pack(const struct hall_set *set, wire_hall room[HALL_MAX],
                wire_halls *out);
 
--- a/node-egress.c
+++ b/node-egress.c
@@ -68,7 +68,7 @@
 {
     struct egress_item *item;
 
-    while ((item = egress_take_dropped(&node->egress)) != NULL) {
+    while ((item = egress_pop_dropped(&node->egress)) != NULL) {
         note_unsent(node, &item->head, item->length, true);
         g_free(item);
     }
@@ -107,10 +107,10 @@
     struct egress_item *item;
 
     charge_consensus(node);
-    while ((item = egress_take(&node->egress, now_us)) != NULL) {
+    while ((item = egress_dequeue(&node->egress, now_us)) != NULL) {
         node_send_now(node, &item->head, item->bytes, item->length, NULL, 0);
         histogram_add(&node->histograms, HISTOGRAM_EGRESS,
-                      now_us - item->put_at_us);
+                      now_us - item->enqueued_at_us);
         if (item->head.kind == EGRESS_CALLER) {
             evidence_note_sent(&node->evidence, now_us / 1000, item->head.flow,
                                item->head.sequence);
@@ -131,11 +131,11 @@
     bool waited = node->egress.bytes > 0;
 
     charge_consensus(node);
-    switch (egress_put(&node->egress, loop_now_us(), head, first, first_length,
-                       second, second_length)) {
-    case EGRESS_NOW:
+    switch (egress_enqueue(&node->egress, loop_now_us(), head, first,
+                           first_length, second, second_length)) {
+    case EGRESS_SEND_NOW:
         return true;
-    case EGRESS_WAITS:
+    case EGRESS_QUEUED:
         counter_add(&node->counters, COUNTER_SENDS_WAITED, 1);
         if (head->kind == EGRESS_CALLER) {
             evidence_note_queued(&node->evidence, head->flow);
@@ -145,10 +145,10 @@
             wait_for_link(node);
         }
         return false;
-    case EGRESS_COPY:
+    case EGRESS_DUPLICATE:
         counter_add(&node->counters, COUNTER_PACKETS_COPIES, 1);
         return false;
-    case EGRESS_FULL:
+    case EGRESS_QUEUE_FULL:
         note_unsent(node, head, first_length + second_length, false);
         return false;
     }
--- a/node-http.c
+++ b/node-http.c
@@ -85,7 +85,7 @@
         log_event(LOG_INFO, "registration-late",
                   "upstream=%llx born=%llu sequence=%llu leaving=%d",
                   (unsigned long long)registration.id,
-                  (unsigned long long)registration.born,
+                  (unsigned long long)registration.started_at,
                   (unsigned long long)registration.sequence,
                   registration.leaving);
     }
--- a/node-operator.c
+++ b/node-operator.c
@@ -111,7 +111,7 @@
                     bool emptied)
 {
     struct node *node = call->node;
-    struct hall_order order = {.emptied = emptied, .wall = loop_wall()};
+    struct hall_order order = {.drained = emptied, .wall = loop_wall()};
     uint64_t token;
 
     if (!hall_is_name(hall)) {
--- a/node-packets.c
+++ b/node-packets.c
@@ -142,7 +142,9 @@
               text->flow, text->caller, text->place, text->rule,
               (unsigned long long)u->id, upstream_state_name(u->state),
               (unsigned long long)u->sequence, u->keeper,
-              (unsigned long long)(u->alive_at != 0 ? now - u->alive_at : 0),
+              (unsigned long long)(u->last_progress_at != 0
+                                       ? now - u->last_progress_at
+                                       : 0),
               text->version);
 }
 
@@ -251,13 +253,13 @@
 {
     struct egress_head head = {.kind = EGRESS_CALLER,
                                .flow = verdict->flow,
-                               .content = content_of(packet, verdict),
+                               .content_hash = content_of(packet, verdict),
                                .sequence = packet->sequence,
                                .address = verdict->upstream->address,
                                .port = verdict->upstream->port};
 
     /* Its copy may have opened the flow elsewhere by then. */
-    head.leave_by_us = packet->first ? loop_now_us() + STALE_MS * 1000 : 0;
+    head.deadline_us = packet->first ? loop_now_us() + STALE_MS * 1000 : 0;
 
     return node_may_send(node, &head, bytes, PLATFORM_PREFIX_BYTES + length,
                          NULL, 0);
@@ -397,7 +399,7 @@
             break;
         }
     }
-    if (node->upstreams.doubted->len > 0 || node_asks_halls(node) ||
+    if (node->upstreams.suspicions->len > 0 || node_asks_halls(node) ||
         fleet_resolve_due(&node->fleet) <= loop_now()) {
         node_act(node);
     }
--- a/node-status.c
+++ b/node-status.c
@@ -48,16 +48,16 @@
     page_add_text(doc, "hall", u->hall);
     page_add_endpoint(doc, "at", u->address, u->port);
     page_add_text(doc, "state", upstream_state_name(u->state));
-    page_add_number(doc, "born", u->born);
+    page_add_number(doc, "born", u->started_at);
     page_add_number(doc, "sequence", u->sequence);
     page_add_number(doc, "slots", u->slots);
     page_add_number(doc, "open_flows", u->open);
     page_add_number(doc, "busy_flows", u->busy);
     page_add_bool(doc, "suspected", now < u->suspect_until);
-    page_add_bool(doc, "doubted", now < u->doubt_at);
-    page_add_bool(doc, "warming_up", now < u->warm_at);
-    page_add_bool(doc, "hall_emptied", u->emptied);
-    page_add_bool(doc, "sick", now < u->sick_until);
+    page_add_bool(doc, "doubted", now < u->next_suspicion_at);
+    page_add_bool(doc, "warming_up", now < u->warmup_until);
+    page_add_bool(doc, "hall_emptied", u->drained);
+    page_add_bool(doc, "sick", now < u->ejected_until);
     page_add_bool(doc, "heard_here", u->expire_at != 0);
     return doc;
 }
--- a/node.c
+++ b/node.c
@@ -170,9 +170,9 @@
                       "sequence=%llu doubted=%d sick=%d",
                       (unsigned long long)u->id, upstream_state_name(u->state),
                       upstream_service_name(&node->upstreams, u->service),
-                      (unsigned long long)u->born,
-                      (unsigned long long)u->sequence, u->doubts.proved,
-                      loop_now() < u->sick_until);
+                      (unsigned long long)u->started_at,
+                      (unsigned long long)u->sequence, u->suspicions.confirmed,
+                      loop_now() < u->ejected_until);
         }
     }
 }
@@ -181,16 +181,16 @@
 static void
 log_doubts(const struct node *node)
 {
-    const GArray *doubted = node->upstreams.doubted;
+    const GArray *doubted = node->upstreams.suspicions;
 
     for (guint i = 0; i < doubted->len; i++) {
-        const struct upstream_doubt *d =
-            &g_array_index(doubted, struct upstream_doubt, i);
+        const struct upstream_suspicion *d =
+            &g_array_index(doubted, struct upstream_suspicion, i);
 
         log_event(LOG_INFO, "upstream-doubted",
                   "upstream=%llx quiet_ms=%u answered=%d too_soon=%d",
                   (unsigned long long)d->id, d->quiet_ms,
-                  d->quiet_ms == 0 && !d->too_soon, d->too_soon);
+                  d->quiet_ms == 0 && !d->outlier, d->outlier);
     }
 }
 
@@ -199,11 +199,11 @@
 static void
 log_told(struct node *node)
 {
-    GArray *told = node->upstreams.told;
+    GArray *told = node->upstreams.learned;
 
     for (guint i = 0; node->fleet.settled && i < told->len; i++) {
-        const struct upstream_told *t =
-            &g_array_index(told, struct upstream_told, i);
+        const struct upstream_learned *t =
+            &g_array_index(told, struct upstream_learned, i);
         const struct upstream *u = upstream_by_id(&node->upstreams, t->id);
 
         histogram_add(&node->histograms, HISTOGRAM_TOLD,
@@ -425,7 +425,8 @@
         now > node->ticked_at + FLEET_HELLO_MS + STANDSTILL_MS) {
         log_event(LOG_WARN, "stood-still", "ms=%llu",
                   (unsigned long long)(now - node->ticked_at));
-        upstream_excuse(&node->upstreams, now, now - node->ticked_at);
+        upstream_extend_deadlines(&node->upstreams, now,
+                                  now - node->ticked_at);
         evidence_pause_detection(&node->evidence, now);
     }
     node->ticked_at = now;
--- a/replica.c
+++ b/replica.c
@@ -67,7 +67,7 @@
 static void
 hold_halls(struct order *order, const wire_halls *halls)
 {
-    if (hall_take(&order->halls, halls)) {
+    if (hall_update(&order->halls, halls)) {
         (void)act(order, ORDER_APPLY);
     }
 }
@@ -393,7 +393,7 @@
 static bool
 has_room(const struct order *order, const struct hall_order *hall)
 {
-    return !hall->emptied || hall_is_emptied(&order->halls, hall->hall) ||
+    return !hall->drained || hall_is_drained(&order->halls, hall->hall) ||
            order->halls.count + order->waits->len < HALL_MAX;
 }
 
@@ -406,7 +406,7 @@
     wire_hall_order *out = &command.wire_command_u.hall;
 
     *out = (wire_hall_order){.hall = (char *)hall->hall,
-                             .emptied = hall->emptied,
+                             .emptied = hall->drained,
                              .wall = hall->wall};
     if (!may_take(order, now, token)) {
         return;
--- a/route-wire.c
+++ b/route-wire.c
@@ -1,27 +1,27 @@
-/* Routing tables to bytes and back. */
+/* Encoding and decoding of routing tables. */
 #include "route-wire.h"
 
 #include <string.h>
 
 #include "codec.h"
 
-/* Place of a service's name among those of a table; adds it when it is new. */
+/* Index of a service name; appends new names. `indexes` holds index + 1, since
+ * NULL means absent. */
 static u_int
-place_of(GHashTable *places, GPtrArray *names, const char *service)
+service_index(GHashTable *indexes, GPtrArray *names, const char *service)
 {
-    gpointer place = g_hash_table_lookup(places, service);
+    gpointer position = g_hash_table_lookup(indexes, service);
 
-    if (place == NULL) {
+    if (position == NULL) {
         g_ptr_array_add(names, (gpointer)service);
-        place = GUINT_TO_POINTER(names->len);
-        g_hash_table_insert(places, (gpointer)service, place);
+        position = GUINT_TO_POINTER(names->len);
+        g_hash_table_insert(indexes, (gpointer)service, position);
     }
-    return GPOINTER_TO_UINT(place) - 1;
+    return GPOINTER_TO_UINT(position) - 1;
 }
 
-/* Fills one route. */
 static void
-pack_route(const struct route *route, GHashTable *places, GPtrArray *names,
+pack_route(const struct route *route, GHashTable *indexes, GPtrArray *names,
            wire_route *out)
 {
     out->address = route->address;
@@ -32,12 +32,12 @@
     out->targets.targets_val = g_new0(wire_target, route->target_count);
     for (size_t i = 0; i < route->target_count; i++) {
         out->targets.targets_val[i].service =
-            place_of(places, names, route->targets[i].service);
+            service_index(indexes, names, route->targets[i].service);
         out->targets.targets_val[i].weight = route->targets[i].weight;
     }
 }
 
-/* What services say of their upstreams; strings are borrowed. */
+/* Strings are borrowed. */
 static wire_warmup *
 pack_warmups(const struct route_table *table)
 {
@@ -48,19 +48,18 @@
             &g_array_index(table->warmups, struct route_warmup, i);
 
         out[i] = (wire_warmup){.service = warmup->service,
-                               .cold_ms = warmup->cold_ms,
+                               .cold_ms = warmup->warmup_ms,
                                .rate_milli = warmup->rate_milli};
     }
     return out;
 }
 
-/* Encodes a table. */
 GByteArray *
 route_encode(const struct route_table *table)
 {
     guint count = table->routes->len;
     wire_route *routes = g_new0(wire_route, count);
-    GHashTable *places = g_hash_table_new(g_str_hash, g_str_equal);
+    GHashTable *indexes = g_hash_table_new(g_str_hash, g_str_equal);
     GPtrArray *names = g_ptr_array_new();
     wire_table out = {.table_version = table->version,
                       .idle_ms = table->idle_ms};
@@ -68,7 +67,7 @@
     GByteArray *bytes;
 
     for (guint i = 0; i < count; i++) {
-        pack_route(&g_array_index(table->routes, struct route, i), places,
+        pack_route(&g_array_index(table->routes, struct route, i), indexes,
                    names, &routes[i]);
     }
     out.routes.routes_val = routes;
@@ -83,20 +82,20 @@
     }
     g_free(routes);
     g_free(warmups);
-    g_hash_table_destroy(places);
+    g_hash_table_destroy(indexes);
     g_ptr_array_free(names, TRUE);
     return bytes;
 }
 
-/* Reads the targets of a route; false when one names no service. */
+/* False when a target's service index is out of range. */
 static bool
-read_targets(const wire_table *table, const wire_route *from,
-             struct route *out)
+decode_targets(const wire_table *table, const wire_route *route,
+               struct route *out)
 {
-    out->target_count = from->targets.targets_len;
+    out->target_count = route->targets.targets_len;
     out->targets = g_new0(struct route_target, out->target_count);
     for (size_t i = 0; i < out->target_count; i++) {
-        const wire_target *target = &from->targets.targets_val[i];
+        const wire_target *target = &route->targets.targets_val[i];
 
         if (target->service >= table->services.services_len) {
             return false;
@@ -109,39 +108,37 @@
     return true;
 }
 
-/* Reads one route into a table; false when it is none, or stands twice. */
+/* False when the route is invalid or its address and port are in use. */
 static bool
-read_route(const wire_table *from, const wire_route *route,
-           struct route_table *out)
+decode_route(const wire_table *table, const wire_route *route,
+             struct route_table *out)
 {
-    struct route read = {.address = route->address,
-                         .port = (uint16_t)route->port,
-                         .kind = (enum route_kind)route->kind,
-                         .deadline_ms = route->deadline_ms};
+    struct route decoded = {.address = route->address,
+                            .port = (uint16_t)route->port,
+                            .kind = (enum route_kind)route->kind,
+                            .deadline_ms = route->deadline_ms};
 
     if (route->port <= UINT16_MAX && route->kind <= ROUTE_BULK &&
-        read_targets(from, route, &read) && route_add(out, &read)) {
+        decode_targets(table, route, &decoded) && route_add(out, &decoded)) {
         return true;
     }
-    g_free(read.targets);
+    g_free(decoded.targets);
     return false;
 }
 
-/* Reads what services say of their upstreams. */
 static void
-read_warmups(const wire_table *from, struct route_table *out)
+decode_warmups(const wire_table *table, struct route_table *out)
 {
-    for (u_int i = 0; i < from->warmups.warmups_len; i++) {
-        const wire_warmup *warmup = &from->warmups.warmups_val[i];
-        struct route_warmup read = {.cold_ms = warmup->cold_ms,
-                                    .rate_milli = warmup->rate_milli};
+    for (u_int i = 0; i < table->warmups.warmups_len; i++) {
+        const wire_warmup *warmup = &table->warmups.warmups_val[i];
+        struct route_warmup decoded = {.warmup_ms = warmup->cold_ms,
+                                       .rate_milli = warmup->rate_milli};
 
-        g_strlcpy(read.service, warmup->service, sizeof(read.service));
-        g_array_append_val(out->warmups, read);
+        g_strlcpy(decoded.service, warmup->service, sizeof(decoded.service));
+        g_array_append_val(out->warmups, decoded);
     }
 }
 
-/* Decodes a table. */
 struct route_table *
 route_decode(const void *bytes, size_t length)
 {
@@ -156,9 +153,9 @@
     out->version = table.table_version;
     out->idle_ms = table.idle_ms;
     for (u_int i = 0; i < table.routes.routes_len && ok; i++) {
-        ok = read_route(&table, &table.routes.routes_val[i], out);
+        ok = decode_route(&table, &table.routes.routes_val[i], out);
     }
-    read_warmups(&table, out);
+    decode_warmups(&table, out);
     codec_free_table(&table);
     if (!ok || out->version == 0) {
         route_free(out);
--- a/route.h
+++ b/route.h
@@ -1,10 +1,9 @@
 /**
  * @file route.h
- * The routing table of a deployment whose upstreams register themselves: one
- * version of which address and port leads to which services. Versions alone
- * order tables: the highest wins. The text is read by whoever knows its form
- * (see platform/); this module owns the result, only looks it up, and knows no
- * upstream: a service's handle is set by who holds the inventory.
+ * Versioned routing table of a deployment with self-registered upstreams: maps
+ * an address and port to weighted services. The highest version wins. Parsers
+ * are in platform/, the encoding between nodes in route-wire.c, and the
+ * service handles are set by the owner of the upstream inventory.
  */
 #ifndef RIDGERIDGE_ROUTE_H
 #define RIDGERIDGE_ROUTE_H
@@ -15,69 +14,68 @@
 
 #define ROUTE_NAME_MAX 63
 
-/** What the requests of a route are. */
+/** Kind of requests of a route. */
 enum route_kind {
-    ROUTE_REPEATABLE, /**< may run twice */
-    ROUTE_ONCE,       /**< may not */
-    ROUTE_BULK        /**< long answers */
+    ROUTE_IDEMPOTENT,     /**< may be retried (RFC 9110, 9.2.2) */
+    ROUTE_NON_IDEMPOTENT, /**< run at most once */
+    ROUTE_BULK            /**< long responses */
 };
 
-/** One service that a route leads to. */
+/** A weighted service of a route. */
 struct route_target {
-    char service[ROUTE_NAME_MAX + 1]; /**< its name */
+    char service[ROUTE_NAME_MAX + 1]; /**< service name */
     uint32_t weight;                  /**< share of new flows */
-    uint16_t handle;                  /**< set by who holds the inventory */
+    uint16_t handle;                  /**< in the upstream inventory */
 };
 
-/** One route. */
 struct route {
     char name[ROUTE_NAME_MAX + 1]; /**< for logs */
-    uint32_t address;              /**< IPv4 that callers use, host order */
-    uint16_t port;                 /**< port that callers use */
-    enum route_kind kind;          /**< what its requests are */
-    uint64_t deadline_ms;          /**< callers give up after it */
-    struct route_target *targets;  /**< where new flows go */
-    size_t target_count;           /**< of targets */
-    uint64_t weight_sum;           /**< of the targets */
+    uint32_t address;              /**< virtual IPv4 address, host order */
+    uint16_t port;                 /**< virtual port */
+    enum route_kind kind;          /**< kind of its requests */
+    uint64_t deadline_ms;          /**< callers time out after it */
+    struct route_target *targets;  /**< services for new flows */
+    size_t target_count;           /**< entries in `targets` */
+    uint64_t weight_sum;           /**< sum of their weights */
 };
 
-/** What a service says of its upstreams. */
+/** Warm-up of a service, as stated in the table. */
 struct route_warmup {
-    char service[ROUTE_NAME_MAX + 1]; /**< its name */
-    uint64_t cold_ms;    /**< each is cold so long after its start */
-    uint64_t rate_milli; /**< new flows that a cold one bears, in thousandths
-                              a second; 0: no bound is stated */
+    char service[ROUTE_NAME_MAX + 1]; /**< service name */
+    uint64_t warmup_ms;               /**< after an upstream's start */
+    uint64_t rate_milli; /**< new flows per second to an upstream during its
+                              warm-up, in 1/1000; 0: no limit */
 };
 
-/** One version. */
+/** One version of the table. */
 struct route_table {
-    uint64_t version;     /**< rises; 0: none yet */
-    GArray *routes;       /**< struct route */
-    GHashTable *by_place; /**< route_key() to index + 1 */
-    GArray *warmups;  /**< struct route_warmup, of services that have one */
-    uint64_t idle_ms; /**< a flow that rested so long may go */
+    uint64_t version;       /**< 0: no table yet */
+    GArray *routes;         /**< struct route */
+    GHashTable *by_address; /**< route_key() to index + 1 */
+    GArray *warmups;  /**< struct route_warmup, for the services with one */
+    uint64_t idle_ms; /**< idle timeout of flows */
 };
 
-/** Makes an empty table. */
 struct route_table *route_new(void);
 
-/** Frees it. */
+/** Accepts NULL. */
 void route_free(struct route_table *table);
 
 /**
- * Adds a route, whose targets are taken over.
- * @return false when its address and port are taken already
+ * Adds a route and takes ownership of its targets.
+ * @return false when its address and port are in use; the caller keeps the
+ * targets
  */
 bool route_add(struct route_table *table, struct route *route);
 
-/** Finds the route of an address and port; NULL when there is none. */
+/** NULL when there is none. */
 const struct route *route_find(const struct route_table *table,
                                uint32_t address, uint16_t port);
 
-/** Key of an address and port, for tables by g_direct_hash(). */
+/** Hash table key for g_direct_hash(). */
 gpointer route_key(uint32_t address, uint16_t port);
 
-/** Picks a target by weight; `hash` decides. NULL when all weights are 0. */
+/** Weighted choice by `hash`; NULL when all weights are 0. */
 const struct route_target *route_pick(const struct route *route,
                                       uint64_t hash);
 
--- a/tests/fleet-sim.c
+++ b/tests/fleet-sim.c
@@ -233,7 +233,7 @@
         act_order(sim, n);
     }
     fleet_spread(&node->fleet, sim->now);
-    g_array_set_size(node->upstreams.told, 0);
+    g_array_set_size(node->upstreams.learned, 0);
     if (act_fleet(sim, n)) {
         found(sim, n);
     }
@@ -533,7 +533,7 @@
 static void
 send_hall(struct fleet_sim *sim, int n, const char *hall, bool emptied)
 {
-    struct hall_order order = {.emptied = emptied};
+    struct hall_order order = {.drained = emptied};
     int leader = serving(sim, n);
 
     if (leader < 0) {
--- a/tests/steer-servers.c
+++ b/tests/steer-servers.c
@@ -18,16 +18,16 @@
 {
     struct upstream_set *set = &m->sets[n];
 
-    for (guint i = 0; i < set->doubted->len; i++) {
-        struct upstream_doubt doubt =
-            g_array_index(set->doubted, struct upstream_doubt, i);
+    for (guint i = 0; i < set->suspicions->len; i++) {
+        struct upstream_suspicion doubt =
+            g_array_index(set->suspicions, struct upstream_suspicion, i);
         unsigned s = model_index_of(m, doubt.id);
 
         m->bytes += DOUBT_BYTES;
-        upstream_take_doubt(&m->sets[model_server(m, s)->keeper], m->now,
-                            doubt.id, n + 1, doubt.quiet_ms);
+        upstream_report_suspicion(&m->sets[model_server(m, s)->keeper], m->now,
+                                  doubt.id, n + 1, doubt.quiet_ms);
     }
-    g_array_set_size(set->doubted, 0);
+    g_array_set_size(set->suspicions, 0);
     for (guint i = 0; i < set->changed->len; i++) {
         uint64_t id = g_array_index(set->changed, uint64_t, i);
         const struct upstream *u = upstream_by_id(set, id);
--- a/tests/test-choose.c
+++ b/tests/test-choose.c
@@ -80,10 +80,10 @@
     u->state = known->state == 's'   ? UPSTREAM_SILENT
                : known->state == 'l' ? UPSTREAM_LEAVING
                                      : UPSTREAM_READY;
-    u->took_us = known->took * USUAL_US / 10;
-    u->took_until = known->took != 0 ? NOW + 1 : 0;
+    u->latency_us = known->took * USUAL_US / 10;
+    u->latency_until = known->took != 0 ? NOW + 1 : 0;
     u->suspect_until = known->state == '?' ? NOW + 1 : 0;
-    u->warm_at = known->state == 'c' ? NOW + 1 : 0;
+    u->warmup_until = known->state == 'c' ? NOW + 1 : 0;
 }
 
 /* Makes one choice. */
--- a/tests/test-evidence.c
+++ b/tests/test-evidence.c
@@ -374,7 +374,7 @@
     GArray *list;
 
     fixture_open(&f, 2);
-    list = f.upstreams.doubted;
+    list = f.upstreams.suspicions;
     /* Upstreams that answer: one of many in doubt is not this node's link. */
     for (uint64_t id = 3; id <= 8; id++) {
         fixture_register(&f, NOW, id, 1, false);
@@ -383,7 +383,7 @@
         uint64_t now = NOW + 10 * g_ascii_strtoull(*at + 1, NULL, 10);
 
         for (uint64_t id = 3; id <= 8; id++) {
-            upstream_by_id(&f.upstreams, id)->alive_at = now;
+            upstream_by_id(&f.upstreams, id)->last_progress_at = now;
         }
         if (!play_event(&f, now, (*at)[0])) {
             struct evidence_packet packet =
@@ -393,8 +393,8 @@
             evidence_steer(&f.ev, now, &packet, &verdict);
         }
         for (guint i = 0; i < list->len; i++) {
-            const struct upstream_doubt *d =
-                &g_array_index(list, struct upstream_doubt, i);
+            const struct upstream_suspicion *d =
+                &g_array_index(list, struct upstream_suspicion, i);
 
             g_assert_cmpuint(d->id, ==, 1);
             g_string_append_printf(told, "%s%s%s", told->len ? " " : "",
@@ -426,9 +426,9 @@
         packet.length = 200;
         evidence_steer(&f.ev, NOW + 10, &packet, &verdict);
         f.ev.answered_sent_at = NOW + 100;
-        upstream_by_id(&f.upstreams, 1)->alive_at = now;
+        upstream_by_id(&f.upstreams, 1)->last_progress_at = now;
         evidence_steer(&f.ev, now, &packet, &verdict);
-        told = f.upstreams.doubted->len;
+        told = f.upstreams.suspicions->len;
     }
     g_assert_cmpuint(told, ==, 0);
     fixture_close(&f);
--- a/tests/test-fleet.c
+++ b/tests/test-fleet.c
@@ -289,7 +289,7 @@
             g_assert_cmpuint(sim->nodes[i].fleet.routes.bundle_version, ==,
                              version);
             g_assert_cmpint(
-                hall_is_emptied(&sim->nodes[i].upstreams.halls, HALL), ==,
+                hall_is_drained(&sim->nodes[i].upstreams.halls, HALL), ==,
                 ends_emptied(scene));
         }
     }
@@ -338,7 +338,7 @@
     sim = play_events(&m->scene, seed, &version);
     fault_trials[m->fault] = false;
     if (ends_emptied(&m->scene) !=
-        hall_is_emptied(&sim->nodes[MUTATION_NODE].upstreams.halls, HALL)) {
+        hall_is_drained(&sim->nodes[MUTATION_NODE].upstreams.halls, HALL)) {
         fleet_sim_note(sim, "the hall is not as it was ordered");
     }
     broken = sim->broken[0] != '\0';
@@ -469,7 +469,7 @@
     g_assert_nonnull(upstream);
     g_assert_cmpstr(upstream->hall, ==, "hall-1");
     g_assert_cmpuint(upstream->sequence, ==, 1);
-    g_assert_cmpuint(upstream->born, ==, 0);
+    g_assert_cmpuint(upstream->started_at, ==, 0);
     g_byte_array_unref(bytes);
     fleet_sim_free(sim);
 }
--- a/tests/test-hall.c
+++ b/tests/test-hall.c
@@ -102,9 +102,9 @@
         char name[2] = {emptied[i], '\0'};
 
         g_assert_cmpstr(set->all[i].name, ==, name);
-        g_assert_true(hall_is_emptied(set, set->all[i].name));
+        g_assert_true(hall_is_drained(set, set->all[i].name));
     }
-    g_assert_false(hall_is_emptied(set, "elsewhere"));
+    g_assert_false(hall_is_drained(set, "elsewhere"));
 }
 
 /* Plays one case. */
@@ -152,7 +152,7 @@
     apply(&told, c->told);
     hall_pack(&told, room, &packed);
     is_newer = told.revision > held.revision;
-    g_assert_cmpint(hall_take(&held, &packed), ==, is_newer);
+    g_assert_cmpint(hall_update(&held, &packed), ==, is_newer);
     check_emptied(&held, c->emptied);
 }
 
@@ -166,7 +166,7 @@
 
     apply(&set, orders);
     hall_pack(&set, room, &packed);
-    (void)upstream_empty_halls(&f->upstreams, NOW, &packed);
+    (void)upstream_drain_halls(&f->upstreams, NOW, &packed);
 }
 
 /* New flows and copies of a first packet. Upstream 1 is in hall "a", upstream
@@ -242,7 +242,7 @@
     fixture_open(&f, 0);
     empty(&f, "a");
     g_assert_true(upstream_merge(&f.upstreams, NOW, &record));
-    g_assert_true(upstream_by_id(&f.upstreams, 9)->emptied);
+    g_assert_true(upstream_by_id(&f.upstreams, 9)->drained);
     fixture_close(&f);
 }
 
@@ -252,26 +252,27 @@
 static void
 test_back(void)
 {
-    static const struct warmup_limit limit = {.cold_ms = 2000};
+    static const struct warmup_limit limit = {.warmup_ms = 2000};
     const struct upstream *one;
     wire_upstream told;
     struct fixture f;
 
     fixture_open(&f, 2);
     one = upstream_by_id(&f.upstreams, 1);
-    upstream_set_limit(&f.upstreams, one->service, &limit);
+    upstream_set_warmup_limit(&f.upstreams, one->service, &limit);
     empty(&f, "h");
     g_strlcpy(upstream_by_id(&f.upstreams, 1)->hall, "h", HALL_NAME_MAX);
     empty(&f, "hh");
-    g_assert_false(upstream_is_cold(one, NOW));
+    g_assert_false(upstream_is_warming_up(one, NOW));
     empty(&f, "ha");
-    g_assert_true(one->emptied);
+    g_assert_true(one->drained);
     empty(&f, "haH");
-    g_assert_false(one->emptied);
-    g_assert_true(upstream_is_cold(one, NOW));
-    g_assert_true(upstream_is_cold(one, NOW + 1999));
-    g_assert_false(upstream_is_cold(one, NOW + 2000));
-    g_assert_false(upstream_is_cold(upstream_by_id(&f.upstreams, 2), NOW + 1));
+    g_assert_false(one->drained);
+    g_assert_true(upstream_is_warming_up(one, NOW));
+    g_assert_true(upstream_is_warming_up(one, NOW + 1999));
+    g_assert_false(upstream_is_warming_up(one, NOW + 2000));
+    g_assert_false(
+        upstream_is_warming_up(upstream_by_id(&f.upstreams, 2), NOW + 1));
     upstream_pack(&f.upstreams, NOW + 500, one, &told);
     g_assert_cmpuint(told.warm_ms, ==, 1500);
     fixture_close(&f);
@@ -352,7 +353,7 @@
 static void
 test_old_folder(void)
 {
-    static const struct hall_order order = {.hall = "west", .emptied = true};
+    static const struct hall_order order = {.hall = "west", .drained = true};
     struct counters counters = {{0}};
     struct status st = {STATUS_OK, ""};
     char *path = copy_folder();
@@ -370,7 +371,7 @@
     g_assert_cmpuint(voter.version, ==, OLD_VERSION);
     g_assert_cmpuint(voter.halls.revision, ==, 0);
     order_submit_hall(&voter, now + ORDER_SETTLE_MS, 1, &order);
-    g_assert_true(hall_is_emptied(&voter.halls, "west"));
+    g_assert_true(hall_is_drained(&voter.halls, "west"));
     order_close(&voter);
     store_close(&store);
     g_free(path);
@@ -391,7 +392,7 @@
     now += ORDER_SETTLE_MS;
     for (uint64_t i = 1; i <= ORDER_COMPACT; i++) {
         wire_routes routes = {.bundle_version = i};
-        struct hall_order order = {.hall = "west", .emptied = i % 2 == 0};
+        struct hall_order order = {.hall = "west", .drained = i % 2 == 0};
 
         order_submit(&voter, now, i, &routes);
         order_submit_hall(&voter, now, i, &order);
@@ -424,7 +425,7 @@
     order_open(&voter, 1, 7, 7, true, 1, NULL, &counters);
     order_tick(&voter, 1);
     for (uint64_t i = 0; i <= HALL_MAX + 1; i++) {
-        struct hall_order order = {.emptied = true};
+        struct hall_order order = {.drained = true};
         const struct order_action *last;
 
         order_clear(&voter);
--- a/tests/test-inventory.c
+++ b/tests/test-inventory.c
@@ -247,14 +247,14 @@
         .nodes = 11, .disks = 3, .upstreams = KNOWN_UPSTREAMS, .seed = 3};
     struct fleet_sim *sim = fleet_sim_new(&options);
     struct fleet_sim_upstream *u = &sim->upstreams[0];
-    struct upstream_doubt doubt = {.quiet_ms = 200};
+    struct upstream_suspicion doubt = {.quiet_ms = 200};
 
     fleet_sim_run(sim, sim->now + SETTLE_MS);
     u->up = false;
     doubt.id = u->id;
     fleet_sim_run(sim, sim->now + 2 * doubt.quiet_ms);
     for (int n = 0; n < 3; n++) {
-        g_array_append_val(sim->nodes[n].upstreams.doubted, doubt);
+        g_array_append_val(sim->nodes[n].upstreams.suspicions, doubt);
     }
     fleet_sim_run(sim, sim->now + DOUBTED_MS);
     for (int n = 0; n < sim->count; n++) {
--- a/tests/test-link.c
+++ b/tests/test-link.c
@@ -138,27 +138,27 @@
         const struct evidence_packet *packet)
 {
     static const uint8_t bytes[HEADERS_BYTES + DATA_BYTES];
-    struct egress_head head = {.kind = EGRESS_CALLER,
-                               .flow = evidence_hash(packet),
-                               .content = packet->length > 0
-                                              ? (uint64_t)flow->port << 32 |
-                                                    packet->sequence
-                                              : 0,
-                               .sequence = packet->sequence,
-                               .address = (uint32_t)(flow - w->flows)};
-
-    switch (egress_put(&w->egress, now * 1000, &head, bytes,
-                       HEADERS_BYTES - UDP_HEADERS_BYTES + packet->length,
-                       NULL, 0)) {
-    case EGRESS_NOW:
+    struct egress_head head = {
+        .kind = EGRESS_CALLER,
+        .flow = evidence_hash(packet),
+        .content_hash = packet->length > 0
+                            ? (uint64_t)flow->port << 32 | packet->sequence
+                            : 0,
+        .sequence = packet->sequence,
+        .address = (uint32_t)(flow - w->flows)};
+
+    switch (egress_enqueue(&w->egress, now * 1000, &head, bytes,
+                           HEADERS_BYTES - UDP_HEADERS_BYTES + packet->length,
+                           NULL, 0)) {
+    case EGRESS_SEND_NOW:
         leave(w, now, flow, packet->sequence);
         break;
-    case EGRESS_WAITS:
+    case EGRESS_QUEUED:
         evidence_note_queued(&w->f.ev, head.flow);
         break;
-    case EGRESS_COPY:
+    case EGRESS_DUPLICATE:
         break;
-    case EGRESS_FULL:
+    case EGRESS_QUEUE_FULL:
         evidence_note_dropped(&w->f.ev, head.flow, false);
         break;
     }
@@ -170,7 +170,7 @@
 {
     struct egress_item *item;
 
-    while ((item = egress_take(&w->egress, now * 1000)) != NULL) {
+    while ((item = egress_dequeue(&w->egress, now * 1000)) != NULL) {
         leave(w, now, &w->flows[item->head.address], item->head.sequence);
         evidence_note_sent(&w->f.ev, now, item->head.flow,
                            item->head.sequence);
@@ -287,11 +287,11 @@
 static void
 count_doubts(struct world *w)
 {
-    GArray *told = w->f.upstreams.doubted;
+    GArray *told = w->f.upstreams.suspicions;
 
     for (guint i = 0; i < told->len; i++) {
         w->doubts +=
-            g_array_index(told, struct upstream_doubt, i).quiet_ms > 0;
+            g_array_index(told, struct upstream_suspicion, i).quiet_ms > 0;
     }
     g_array_set_size(told, 0);
 }
@@ -376,19 +376,19 @@
     struct egress_item *item;
 
     egress_open(&egress, LINK_KBIT_S);
-    while (egress_put(&egress, NOW, &head, bytes, sizeof(bytes), NULL, 0) ==
-           EGRESS_NOW) {
+    while (egress_enqueue(&egress, NOW, &head, bytes, sizeof(bytes), NULL,
+                          0) == EGRESS_SEND_NOW) {
     }
     head.flow = 2;
-    head.leave_by_us = NOW + 1;
+    head.deadline_us = NOW + 1;
     g_assert_cmpint(
-        egress_put(&egress, NOW, &head, bytes, sizeof(bytes), NULL, 0), ==,
-        EGRESS_WAITS);
-    item = egress_take(&egress, NOW + 20000);
+        egress_enqueue(&egress, NOW, &head, bytes, sizeof(bytes), NULL, 0), ==,
+        EGRESS_QUEUED);
+    item = egress_dequeue(&egress, NOW + 20000);
     g_assert_cmpuint(item->head.flow, ==, 1);
     g_free(item);
-    g_assert_null(egress_take(&egress, NOW + 40000));
-    item = egress_take_dropped(&egress);
+    g_assert_null(egress_dequeue(&egress, NOW + 40000));
+    item = egress_pop_dropped(&egress);
     g_assert_cmpuint(item->head.flow, ==, 2);
     g_free(item);
     g_assert_cmpuint(egress_due_us(&egress), ==, UINT64_MAX);
@@ -407,17 +407,17 @@
     struct egress_item *item;
 
     egress_open(&egress, LINK_KBIT_S);
-    while (egress_put(&egress, NOW, &many, bytes, sizeof(bytes), NULL, 0) !=
-           EGRESS_FULL) {
+    while (egress_enqueue(&egress, NOW, &many, bytes, sizeof(bytes), NULL,
+                          0) != EGRESS_QUEUE_FULL) {
     }
     g_assert_cmpuint(egress.bytes, <=, egress.limit);
     g_assert_cmpint(
-        egress_put(&egress, NOW, &few, bytes, sizeof(bytes), NULL, 0), ==,
-        EGRESS_WAITS);
-    item = egress_take_dropped(&egress);
+        egress_enqueue(&egress, NOW, &few, bytes, sizeof(bytes), NULL, 0), ==,
+        EGRESS_QUEUED);
+    item = egress_pop_dropped(&egress);
     g_assert_cmpuint(item->head.flow, ==, 1);
     g_free(item);
-    g_assert_null(egress_take_dropped(&egress));
+    g_assert_null(egress_pop_dropped(&egress));
     egress_close(&egress);
 }
 
--- a/tests/test-sick.c
+++ b/tests/test-sick.c
@@ -67,7 +67,7 @@
     struct fixture f;
 
     fixture_open(&f, 2);
-    told = f.upstreams.doubted;
+    told = f.upstreams.suspicions;
     for (uint32_t i = 1; i <= c->answers; i++) {
         play_answer(&f, now, 2, i, c->usual_ms, false);
         now += 2 * c->usual_ms;
@@ -76,11 +76,11 @@
     play_answer(&f, now, 1, 1, c->took_ms, c->copied);
     g_assert_cmpuint(told->len, ==, c->told);
     if (c->told) {
-        const struct upstream_doubt *word =
-            &g_array_index(told, struct upstream_doubt, 0);
+        const struct upstream_suspicion *word =
+            &g_array_index(told, struct upstream_suspicion, 0);
 
         g_assert_cmpuint(word->id, ==, 1);
-        g_assert_true(word->too_soon);
+        g_assert_true(word->outlier);
         play_answer(&f, now + 50, 1, 2, c->took_ms, false);
         g_assert_cmpuint(told->len, ==, 1);
         play_answer(&f, now + 300, 1, 3, c->took_ms, false);
@@ -128,17 +128,17 @@
     g_array_set_size(f.upstreams.changed, 0);
     for (gchar **at = steps; *at != NULL; at++) {
         now = NOW + 10 * g_ascii_strtoull(*at + 1, NULL, 10);
-        upstream_take_too_soon(&f.upstreams, now, 1, (uint32_t)(*at)[0]);
+        upstream_report_outlier(&f.upstreams, now, 1, (uint32_t)(*at)[0]);
     }
     g_assert_cmpuint(f.upstreams.changed->len, ==, c->called);
-    g_assert_cmpuint(one->sick_until, ==,
+    g_assert_cmpuint(one->ejected_until, ==,
                      c->until != 0 ? NOW + 10 * c->until : 0);
     /* Another node is told so. */
     upstream_open(&other, SELF + 1, INTERVAL_MS);
     upstream_pack(&f.upstreams, now, one, &record);
     g_assert_true(upstream_merge(&other, now, &record));
-    g_assert_cmpuint(upstream_by_id(&other, 1)->sick_until, ==,
-                     one->sick_until);
+    g_assert_cmpuint(upstream_by_id(&other, 1)->ejected_until, ==,
+                     one->ejected_until);
     upstream_close(&other);
     g_strfreev(steps);
     fixture_close(&f);
@@ -153,9 +153,9 @@
     fixture_open(&f, 1);
     upstream_by_id(&f.upstreams, 1)->keeper = SELF + 1;
     for (uint32_t node = 1; node <= 5; node++) {
-        upstream_take_too_soon(&f.upstreams, NOW, 1, node);
+        upstream_report_outlier(&f.upstreams, NOW, 1, node);
     }
-    g_assert_cmpuint(upstream_by_id(&f.upstreams, 1)->sick_until, ==, 0);
+    g_assert_cmpuint(upstream_by_id(&f.upstreams, 1)->ejected_until, ==, 0);
     fixture_close(&f);
 }
 
@@ -193,11 +193,11 @@
 
     fixture_open(&f, c->upstreams);
     g_array_index(f.ev.table->routes, struct route, 0).kind =
-        c->once ? ROUTE_ONCE : ROUTE_REPEATABLE;
+        c->once ? ROUTE_NON_IDEMPOTENT : ROUTE_IDEMPOTENT;
     for (uint64_t id = 1; id <= c->upstreams; id++) {
         struct upstream *u = upstream_by_id(&f.upstreams, id);
 
-        u->sick_until = id <= c->sick ? NOW + 1000 : 0;
+        u->ejected_until = id <= c->sick ? NOW + 1000 : 0;
         u->open = id <= c->sick ? 0 : 3;
     }
     evidence_steer(&f.ev, NOW + c->later, &packet, &verdict);
--- a/tests/test-upstream.c
+++ b/tests/test-upstream.c
@@ -149,7 +149,7 @@
         }
     }
     u = upstream_by_id(&set, 7);
-    g_assert_cmpuint(u->born, ==, c->after.born);
+    g_assert_cmpuint(u->started_at, ==, c->after.born);
     g_assert_cmpuint(u->sequence, ==, c->after.sequence);
     g_assert_cmpint(u->state, ==, state_by(c->after.state));
     upstream_close(&set);
@@ -228,7 +228,7 @@
                                       .service = "feed",
                                       .hall = "hall",
                                       .slots = 1,
-                                      .born = 900,
+                                      .started_at = 900,
                                       .sequence = c->sequence,
                                       .leaving = c->leaving};
     struct upstream_set set;
@@ -251,20 +251,20 @@
                                       .hall = "hall",
                                       .slots = 1,
                                       .sequence = 20,
-                                      .born = 100};
+                                      .started_at = 100};
     struct upstream_set set;
     uint32_t mark;
 
     upstream_open(&set, SELF, INTERVAL_MS);
     g_assert_true(upstream_register(&set, NOW, &r));
-    mark = upstream_by_id(&set, 7)->mark;
+    mark = upstream_by_id(&set, 7)->digest;
     g_array_set_size(set.changed, 0);
-    r.born = 900;
+    r.started_at = 900;
     r.sequence = 1;
     g_assert_true(upstream_register(&set, NOW, &r));
     g_assert_cmpuint(set.changed->len, ==, 1);
-    g_assert_cmpuint(upstream_by_id(&set, 7)->mark, !=, mark);
-    r.born = 0;
+    g_assert_cmpuint(upstream_by_id(&set, 7)->digest, !=, mark);
+    r.started_at = 0;
     r.sequence = 30;
     g_assert_false(upstream_register(&set, NOW, &r));
     upstream_close(&set);
@@ -442,9 +442,9 @@
             upstream_by_id(&set, 1)->keeper = SELF + 1;
         }
         else {
-            upstream_take_doubt(&set, now, 1,
-                                (uint32_t)g_ascii_tolower(letter),
-                                letter == 'A' ? 0 : 200);
+            upstream_report_suspicion(&set, now, 1,
+                                      (uint32_t)g_ascii_tolower(letter),
+                                      letter == 'A' ? 0 : 200);
         }
     }
     upstream_tick(&set, now + 110);
@@ -475,14 +475,14 @@
     g_assert_true(upstream_merge(&set, NOW, &record));
     upstream_tick(&set, NOW + 3 * INTERVAL_MS);
     g_assert_cmpint(state_of(&set, 1), ==, UPSTREAM_READY);
-    g_assert_cmpuint(set.unsure->len, ==, 0);
+    g_assert_cmpuint(set.queries->len, ==, 0);
     upstream_tick(&set, asks_at);
     g_assert_cmpint(state_of(&set, 1), ==, UPSTREAM_READY);
-    g_assert_cmpuint(set.unsure->len, ==, 1);
+    g_assert_cmpuint(set.queries->len, ==, 1);
     g_assert_cmpuint(upstream_deadline(&set), <, NOW + 5 * INTERVAL_MS);
     upstream_tick(&set, NOW + 5 * INTERVAL_MS);
     g_assert_cmpint(state_of(&set, 1), ==, UPSTREAM_SILENT);
-    g_assert_cmpuint(set.unsure->len, ==, 1);
+    g_assert_cmpuint(set.queries->len, ==, 1);
     upstream_close(&set);
 }
 
@@ -519,7 +519,7 @@
 
     upstream_open(&set, SELF, INTERVAL_MS);
     register_there(&set, NOW, 1, 1, false);
-    upstream_excuse(&set, NOW + gap, gap);
+    upstream_extend_deadlines(&set, NOW + gap, gap);
     upstream_tick(&set, NOW + gap);
     g_assert_cmpint(state_of(&set, 1), ==, UPSTREAM_READY);
     upstream_tick(&set, NOW + 2 * gap);
@@ -537,7 +537,7 @@
     for (guint i = 0; i < set->all->len; i++) {
         const struct upstream *u = g_ptr_array_index(set->all, i);
 
-        sums[u->token % WIRE_BUCKETS] += upstream_mark(u);
+        sums[u->token % WIRE_BUCKETS] += upstream_digest(u);
         if (u->state == UPSTREAM_GONE) {
             g_assert_cmpuint(upstream_deadline(set), <=, u->forget_at);
         }
@@ -584,7 +584,8 @@
             upstream_adopt(&set, now, 9);
             break;
         case 3:
-            upstream_take_doubt(&set, now, id, (uint32_t)step, INTERVAL_MS);
+            upstream_report_suspicion(&set, now, id, (uint32_t)step,
+                                      INTERVAL_MS);
             break;
         default:
             (void)upstream_merge(&set, now, &record);
@@ -629,18 +630,18 @@
 test_gone_is_forgotten(void)
 {
     struct upstream_set sets[2];
-    uint64_t until = NOW + 3 * UPSTREAM_GONE_MS;
+    uint64_t until = NOW + 3 * UPSTREAM_TOMBSTONE_MS;
 
     for (int i = 0; i < 2; i++) {
         upstream_open(&sets[i], SELF + (uint32_t)i, INTERVAL_MS);
     }
     (void)upstream_deregister(&sets[0], NOW, 7, 0);
-    for (uint64_t now = NOW; now <= until; now += UPSTREAM_GONE_MS / 5) {
+    for (uint64_t now = NOW; now <= until; now += UPSTREAM_TOMBSTONE_MS / 5) {
         for (int i = 0; i < 2; i++) {
             upstream_tick(&sets[i], now);
         }
-        tell(&sets[0], &sets[1], now + UPSTREAM_GONE_MS / 10);
-        tell(&sets[1], &sets[0], now + UPSTREAM_GONE_MS / 10);
+        tell(&sets[0], &sets[1], now + UPSTREAM_TOMBSTONE_MS / 10);
+        tell(&sets[1], &sets[0], now + UPSTREAM_TOMBSTONE_MS / 10);
     }
     for (int i = 0; i < 2; i++) {
         g_assert_cmpuint(sets[i].all->len, ==, 0);
--- a/tests/test-warmup.c
+++ b/tests/test-warmup.c
@@ -218,7 +218,7 @@
 
     g_assert_cmpint(limit.bounded, ==, c->bounded);
     g_assert_cmpuint(limit.owners, ==, c->owners);
-    g_assert_cmpuint(limit.cold_ms, ==, COLD_MS);
+    g_assert_cmpuint(limit.warmup_ms, ==, COLD_MS);
 }
 
 /* Each upstream has as many owners as are wanted, whoever asks; no node owns
@@ -236,7 +236,7 @@
         unsigned owned = 0;
 
         for (uint64_t id = 1; id <= UPSTREAMS; id++) {
-            owned += warmup_owns(&nodes[n].ev.nodes, OWNERS, id);
+            owned += warmup_is_owner(&nodes[n].ev.nodes, OWNERS, id);
         }
         sum += owned;
         most = MAX(most, owned);
@@ -256,7 +256,7 @@
 
     fixture_open(&f, 10);
     for (uint64_t id = 1; id <= 5; id++) {
-        upstream_by_id(&f.upstreams, id)->warm_at = NOW + COLD_MS;
+        upstream_by_id(&f.upstreams, id)->warmup_until = NOW + COLD_MS;
     }
     for (uint16_t caller = 1; caller <= 1000; caller++) {
         struct evidence_packet packet = fixture_packet(caller, true, 0, 0);
--- a/tools/bench-warmup.c
+++ b/tools/bench-warmup.c
@@ -167,8 +167,9 @@
     case WAY_OWNERS:
     case WAY_WAIT:
         return (m.sent_at[n][upstream] == 0 ||
-                m.now >= m.sent_at[n][upstream] + WARMUP_PACE_MS) &&
-               warmup_owns(&m.views[n], BOUND / WARMUP_VIEWS, upstream + 1);
+                m.now >= m.sent_at[n][upstream] + WARMUP_FLOW_INTERVAL_MS) &&
+               warmup_is_owner(&m.views[n], BOUND / WARMUP_VIEWS,
+                               upstream + 1);
     case WAY_COUNT:
         break;
     }
--- a/tools/soak/host.c
+++ b/tools/soak/host.c
@@ -124,7 +124,7 @@
                                                  .port = HOST_PORT,
                                                  .slots = 2,
                                                  .leaving = host->leaving,
-                                                 .born = host->born,
+                                                 .started_at = host->born,
                                                  .sequence = ++host->sequence};
     char *body;
     GString *answer = g_string_new(NULL);
--- a/upstream-index.c
+++ b/upstream-index.c
@@ -1,14 +1,9 @@
-/*
- * The records of an inventory and how they are found: by id, by token, by the
- * address that an upstream runs at, in order of tokens and by bucket of them.
- * A look-up costs the same however many there are. What a record says is
- * upstream.c's.
- */
+/* Indexes of the inventory: by id, token and endpoint, and sorted by token, in
+ * total and per bucket. Lookups take constant or logarithmic time. */
 #include "upstream-internal.h"
 
 #include "hash.h"
 
-/* Token of an incarnation. */
 uint32_t
 upstream_token(uint64_t id)
 {
@@ -17,21 +12,18 @@
     return token != 0 ? token : 1;
 }
 
-/* Finds by token. */
 struct upstream *
 upstream_by_token(const struct upstream_set *set, uint32_t token)
 {
     return g_hash_table_lookup(set->by_token, GUINT_TO_POINTER(token));
 }
 
-/* Finds by id. */
 struct upstream *
 upstream_by_id(const struct upstream_set *set, uint64_t id)
 {
     return g_hash_table_lookup(set->by_id, &id);
 }
 
-/* Says whether an incarnation is believed to run. */
 bool
 upstream_is_alive(const struct upstream *upstream)
 {
@@ -39,98 +31,96 @@
            upstream->state == UPSTREAM_LEAVING;
 }
 
-/* Where an upstream stands by its token in a list. */
+/* Lower bound of a token in a sorted list. */
 static guint
-rank_of_token(const GPtrArray *list, uint32_t token)
+lower_bound(const GPtrArray *list, uint32_t token)
 {
     guint low = 0;
     guint high = list->len;
 
     while (low < high) {
-        guint middle = low + (high - low) / 2;
-        const struct upstream *u = g_ptr_array_index(list, middle);
+        guint mid = low + (high - low) / 2;
+        const struct upstream *u = g_ptr_array_index(list, mid);
 
         if (u->token < token) {
-            low = middle + 1;
+            low = mid + 1;
         }
         else {
-            high = middle;
+            high = mid;
         }
     }
     return low;
 }
 
-/* Puts an upstream where it stands by its token. */
 static void
 insert_by_token(GPtrArray *list, struct upstream *upstream)
 {
-    g_ptr_array_insert(list, (gint)rank_of_token(list, upstream->token),
+    g_ptr_array_insert(list, (gint)lower_bound(list, upstream->token),
                        upstream);
 }
 
-/* Takes an upstream out of a list by token. */
+/* Records with equal tokens are adjacent. */
 static void
 remove_by_token(GPtrArray *list, struct upstream *upstream)
 {
-    guint place = rank_of_token(list, upstream->token);
+    guint index = lower_bound(list, upstream->token);
 
-    while (g_ptr_array_index(list, place) != upstream) {
-        place++;
+    while (g_ptr_array_index(list, index) != upstream) {
+        index++;
     }
-    (void)g_ptr_array_remove_index(list, place);
+    (void)g_ptr_array_remove_index(list, index);
 }
 
-/* Takes an upstream off its place. */
 static void
-leave_place(struct upstream_set *set, struct upstream *upstream)
+unindex_endpoint(struct upstream_set *set, struct upstream *upstream)
 {
     struct upstream *first;
 
-    if (upstream->place == 0) {
+    if (upstream->endpoint_key == 0) {
         return;
     }
-    first = g_hash_table_lookup(set->by_place, &upstream->place);
+    first = g_hash_table_lookup(set->by_endpoint, &upstream->endpoint_key);
     if (first != upstream) {
-        while (first->next_there != upstream) {
-            first = first->next_there;
+        while (first->next_at_endpoint != upstream) {
+            first = first->next_at_endpoint;
         }
-        first->next_there = upstream->next_there;
+        first->next_at_endpoint = upstream->next_at_endpoint;
     }
-    else if (upstream->next_there != NULL) {
-        (void)g_hash_table_replace(set->by_place, &upstream->next_there->place,
-                                   upstream->next_there);
+    else if (upstream->next_at_endpoint != NULL) {
+        (void)g_hash_table_replace(set->by_endpoint,
+                                   &upstream->next_at_endpoint->endpoint_key,
+                                   upstream->next_at_endpoint);
     }
     else {
-        (void)g_hash_table_remove(set->by_place, &upstream->place);
+        (void)g_hash_table_remove(set->by_endpoint, &upstream->endpoint_key);
     }
-    upstream->place = 0;
-    upstream->next_there = NULL;
+    upstream->endpoint_key = 0;
+    upstream->next_at_endpoint = NULL;
 }
 
-/* Key of an address and a port. */
 static uint64_t
-place_of(uint32_t address, uint32_t port)
+endpoint_key(uint32_t address, uint32_t port)
 {
     return (uint64_t)address << 16 | port;
 }
 
-/* Puts an upstream to its place. */
 void
-upstream_take_place(struct upstream_set *set, struct upstream *upstream)
+upstream_index_endpoint(struct upstream_set *set, struct upstream *upstream)
 {
-    uint64_t place = place_of(upstream->address, upstream->port);
+    uint64_t key = endpoint_key(upstream->address, upstream->port);
 
-    if (upstream->place == place) {
+    if (upstream->endpoint_key == key) {
         return;
     }
-    leave_place(set, upstream);
-    upstream->place = place;
-    upstream->next_there = g_hash_table_lookup(set->by_place, &place);
-    (void)g_hash_table_replace(set->by_place, &upstream->place, upstream);
+    unindex_endpoint(set, upstream);
+    upstream->endpoint_key = key;
+    upstream->next_at_endpoint = g_hash_table_lookup(set->by_endpoint, &key);
+    (void)g_hash_table_replace(set->by_endpoint, &upstream->endpoint_key,
+                               upstream);
 }
 
-/* Makes a record. Of two incarnations with one token the older keeps it; the
- * newer is never found by its token, so it is not chosen either. */
+/* Adds a record. When two ids hash to the same token, the older record keeps
+ * it; the newer one is not found by its token and so gets no flows. */
 struct upstream *
 upstream_add(struct upstream_set *set, uint64_t id)
 {
@@ -141,40 +131,37 @@
     insert_by_token(set->all, upstream);
     insert_by_token(set->buckets[upstream->token % WIRE_BUCKETS], upstream);
     g_hash_table_insert(set->by_id, &upstream->id, upstream);
-    upstream->named = upstream_by_token(set, upstream->token) == NULL;
-    if (upstream->named) {
+    upstream->has_token = upstream_by_token(set, upstream->token) == NULL;
+    if (upstream->has_token) {
         g_hash_table_insert(set->by_token, GUINT_TO_POINTER(upstream->token),
                             upstream);
     }
     return upstream;
 }
 
-/* Drops a record. */
 void
 upstream_drop(struct upstream_set *set, struct upstream *upstream)
 {
-    set->digests[upstream->token % WIRE_BUCKETS] -= upstream->mark;
+    set->digests[upstream->token % WIRE_BUCKETS] -= upstream->digest;
     g_hash_table_remove(set->by_id, &upstream->id);
-    if (upstream->named) {
+    if (upstream->has_token) {
         g_hash_table_remove(set->by_token, GUINT_TO_POINTER(upstream->token));
     }
-    leave_place(set, upstream);
+    unindex_endpoint(set, upstream);
     remove_by_token(set->buckets[upstream->token % WIRE_BUCKETS], upstream);
     remove_by_token(set->all, upstream);
 }
 
-/* The incarnation other than `id` that is believed to run at an address; NULL
- * when there is none. */
 struct upstream *
-upstream_holder_of(const struct upstream_set *set, uint64_t id,
-                   uint32_t address, uint32_t port)
+upstream_running_at(const struct upstream_set *set, uint64_t id,
+                    uint32_t address, uint32_t port)
 {
-    uint64_t place = place_of(address, port);
-    struct upstream *upstream = g_hash_table_lookup(set->by_place, &place);
+    uint64_t key = endpoint_key(address, port);
+    struct upstream *upstream = g_hash_table_lookup(set->by_endpoint, &key);
 
     while (upstream != NULL &&
            (upstream->id == id || !upstream_is_alive(upstream))) {
-        upstream = upstream->next_there;
+        upstream = upstream->next_at_endpoint;
     }
     return upstream;
 }
--- a/upstream-internal.h
+++ b/upstream-internal.h
@@ -1,6 +1,6 @@
 /**
  * @file upstream-internal.h
- * What the upstream*.c files share. Nothing else includes it.
+ * Private interface between the upstream*.c files.
  */
 #ifndef RIDGERIDGE_UPSTREAM_INTERNAL_H
 #define RIDGERIDGE_UPSTREAM_INTERNAL_H
@@ -8,38 +8,38 @@
 #include "upstream.h"
 
 /* upstream.c */
-/** Notes a deadline of a record. */
-void upstream_note_due(struct upstream_set *set, uint64_t at);
-/** Notes that a record must be spread. */
-void upstream_note_change(struct upstream_set *set,
-                          const struct upstream *upstream);
-/** Brings the digest up to what is believed of an upstream. */
+/** Lowers the set's next deadline to `at`. */
+void upstream_schedule(struct upstream_set *set, uint64_t at);
+/** Queues a record for broadcast. */
+void upstream_queue_change(struct upstream_set *set,
+                           const struct upstream *upstream);
+/** Updates the bucket's digest after a change of a record. */
 void upstream_update_digest(struct upstream_set *set,
                             struct upstream *upstream);
 
 /* upstream-index.c */
-/** Says whether an incarnation is believed to run. */
+/** READY or LEAVING. */
 bool upstream_is_alive(const struct upstream *upstream);
-/** Makes a record. */
 struct upstream *upstream_add(struct upstream_set *set, uint64_t id);
-/** Lets an upstream be found at its address and port. */
-void upstream_take_place(struct upstream_set *set, struct upstream *upstream);
-/** The incarnation other than `id` that is believed to run at an address; NULL
- * when there is none. */
-struct upstream *upstream_holder_of(const struct upstream_set *set,
-                                    uint64_t id, uint32_t address,
-                                    uint32_t port);
+/** Indexes an upstream by its current address and port. */
+void upstream_index_endpoint(struct upstream_set *set,
+                             struct upstream *upstream);
+/** Upstream other than `id` that is alive at an endpoint; NULL when there is
+ * none. */
+struct upstream *upstream_running_at(const struct upstream_set *set,
+                                     uint64_t id, uint32_t address,
+                                     uint32_t port);
 
 /* upstream-watch.c */
-/** Deadline by which the next registration must have come. */
+/** Deadline of the next registration, ms. */
 uint64_t upstream_next_expiry(const struct upstream_set *set, uint64_t now);
-/** Deadline by which an upstream that this process has not heard must have
- * registered, here or elsewhere. */
-uint64_t upstream_moved_expiry(const struct upstream_set *set, uint64_t now);
-/** Forgets doubts: it answered, or registered. */
-void upstream_clear_doubts(struct upstream *upstream);
-/** Believes that an upstream does not answer, unless it leaves. */
-void upstream_fall_silent(struct upstream_set *set, uint64_t now,
-                          struct upstream *upstream, bool spread);
+/** Deadline of a registration, here or at another node, after the keeper
+ * failed or restarted, ms. */
+uint64_t upstream_failover_expiry(const struct upstream_set *set,
+                                  uint64_t now);
+void upstream_clear_suspicions(struct upstream *upstream);
+/** Makes a READY upstream SILENT. */
+void upstream_mark_silent(struct upstream_set *set, uint64_t now,
+                          struct upstream *upstream, bool broadcast);
 
 #endif
--- a/upstream-watch.c
+++ b/upstream-watch.c
@@ -1,134 +1,126 @@
-/*
- * Which upstreams are silent: registrations that stay away, what other nodes
- * say, and what a standstill of this one excuses. Owns the deadlines of
- * records; who an upstream is, and which word about it holds, is upstream.c's.
- */
+/* Failure detection at the keeper: missed registrations, suspicions of other
+ * nodes (a quorum, as SWIM's suspicion), outlier ejection, and the allowance
+ * for stalls of this process. */
 #include "upstream-internal.h"
 
 #include "fault.h"
 
-/* Registrations that may stay away before an upstream counts as silent. A
- * false sign costs little: its flows go on, and the next one corrects it. */
+/* Missed registrations before an upstream is SILENT. A false positive costs
+ * little: open flows go on and the next registration corrects it. */
 #define MISSED_INTERVALS 2
 
-/* The same for upstreams that this process has not heard itself: their node
- * was lost or began anew, and they turn to another one, whose word must come.
- */
-#define MOVED_INTERVALS 4
-
-/* Words that an upstream answers too soon count together for so long: the
- * nodes of a large deployment see an upstream once in some seconds each. */
-#define TOO_SOON_MS 2000U
-/* A sick upstream gets no new flows for so long the first time, then for twice
- * as long each time, up to four times. */
-#define SICK_MS 3000U
-#define SICK_DOUBLES 2U
-/* It is called sick again while it still is only so shortly before the end. */
-#define SICK_RENEW_MS 500U
-
-/* An answer that a node saw speaks against a loss for so long. */
+/* The same after the keeper failed or restarted: the upstream registers at
+ * another node first, whose record must arrive. */
+#define FAILOVER_INTERVALS 4
+
+/* Lifetime of an outlier report; in a large deployment a node sends to an
+ * upstream only every few seconds. */
+#define OUTLIER_REPORT_MS 2000U
+/* First ejection time; each further ejection doubles it, EJECTION_DOUBLINGS
+ * doublings at most. */
+#define EJECTION_MS 3000U
+#define EJECTION_DOUBLINGS 2U
+/* Reports extend an ejection only in this last part of it. */
+#define EJECTION_RENEW_MS 500U
+
+/* An answer seen by any node prevents LOST for this long. */
 #define REFUTED_MS 1000U
 
-/* Before such an upstream counts as silent, others are asked for what they
- * know of it, and have so long to answer: the way there and back, behind
- * queues of 40 ms at both ends, and a lost message of two. Where all nodes
- * begin anew, an upstream may register elsewhere before this one hears of it.
- */
-#define ANSWER_MS 250U
+/* Time that other nodes have to answer a query before an upstream is SILENT
+ * that never registered at this process: the round trip with 40 ms of queueing
+ * at both ends, and a retry. After a restart of all nodes an upstream may
+ * register elsewhere before this node learns of it. */
+#define QUERY_TIMEOUT_MS 250U
 
-/* Deadline by which the next registration must have come. */
 uint64_t
 upstream_next_expiry(const struct upstream_set *set, uint64_t now)
 {
     return now + MISSED_INTERVALS * set->interval_ms;
 }
 
-/* Deadline by which an upstream that this process has not heard must have
- * registered, here or elsewhere. */
 uint64_t
-upstream_moved_expiry(const struct upstream_set *set, uint64_t now)
+upstream_failover_expiry(const struct upstream_set *set, uint64_t now)
 {
-    return now + MOVED_INTERVALS * set->interval_ms;
+    return now + FAILOVER_INTERVALS * set->interval_ms;
 }
 
-/* Forgets doubts: it answered, or registered. */
 void
-upstream_clear_doubts(struct upstream *upstream)
+upstream_clear_suspicions(struct upstream *upstream)
 {
-    upstream->doubts.count = 0;
-    upstream->doubts.decide_at = 0;
-    upstream->doubts.proved = false;
-    upstream->missed = false;
+    upstream->suspicions.count = 0;
+    upstream->suspicions.decide_at = 0;
+    upstream->suspicions.confirmed = false;
+    upstream->expired = false;
 }
 
-/* Changes what is believed of an upstream, and tells others. */
 static void
-believe(struct upstream_set *set, uint64_t now, struct upstream *upstream,
-        enum upstream_state state, bool spread)
+set_state(struct upstream_set *set, uint64_t now, struct upstream *upstream,
+          enum upstream_state state, bool broadcast)
 {
     upstream->state = state;
     upstream->changed_at = now;
     upstream_update_digest(set, upstream);
-    if (spread) {
-        upstream_note_change(set, upstream);
+    if (broadcast) {
+        upstream_queue_change(set, upstream);
     }
 }
 
-/* Believes that an upstream does not answer. One that leaves goes on leaving:
- * a silent one gets new flows as a last resort. */
+/* A LEAVING upstream stays so: as SILENT it could get new flows as a fallback.
+ */
 void
-upstream_fall_silent(struct upstream_set *set, uint64_t now,
-                     struct upstream *upstream, bool spread)
+upstream_mark_silent(struct upstream_set *set, uint64_t now,
+                     struct upstream *upstream, bool broadcast)
 {
     if (upstream->state == UPSTREAM_READY && !fault_is(FAULT_NO_SILENCE)) {
-        believe(set, now, upstream, UPSTREAM_SILENT, spread);
+        set_state(set, now, upstream, UPSTREAM_SILENT, broadcast);
     }
 }
 
-/* Drops doubts that are too old, and that of a node which speaks again. */
+/* Drops expired suspicions and the previous one of `node`. */
 static void
-drop_doubts(struct upstream_doubts *doubts, uint64_t now, uint32_t node)
+drop_suspicions(struct upstream_suspicions *suspicions, uint64_t now,
+                uint32_t node)
 {
-    for (uint32_t i = doubts->count; i > 0; i--) {
-        if (now >= doubts->until[i - 1] || doubts->nodes[i - 1] == node) {
-            doubts->count--;
-            doubts->nodes[i - 1] = doubts->nodes[doubts->count];
-            doubts->until[i - 1] = doubts->until[doubts->count];
+    for (uint32_t i = suspicions->count; i > 0; i--) {
+        if (now >= suspicions->until[i - 1] ||
+            suspicions->nodes[i - 1] == node) {
+            suspicions->count--;
+            suspicions->nodes[i - 1] = suspicions->nodes[suspicions->count];
+            suspicions->until[i - 1] = suspicions->until[suspicions->count];
         }
     }
 }
 
-/* Adds a doubt; with enough of them, what is to be believed is decided soon.
- */
+/* A quorum sets the deadline of the decision. */
 static void
-add_doubt(struct upstream_doubts *doubts, uint64_t now, uint32_t node)
+add_suspicion(struct upstream_suspicions *suspicions, uint64_t now,
+              uint32_t node)
 {
-    drop_doubts(doubts, now, node);
-    if (doubts->count < UPSTREAM_DOUBTERS) {
-        doubts->nodes[doubts->count] = node;
-        doubts->until[doubts->count] = now + UPSTREAM_DOUBT_MS;
-        doubts->count++;
+    drop_suspicions(suspicions, now, node);
+    if (suspicions->count < UPSTREAM_REPORT_QUORUM) {
+        suspicions->nodes[suspicions->count] = node;
+        suspicions->until[suspicions->count] = now + UPSTREAM_SUSPICION_MS;
+        suspicions->count++;
     }
-    if (doubts->count == UPSTREAM_DOUBTERS && doubts->decide_at == 0) {
-        doubts->decide_at = now + UPSTREAM_DOUBT_WAIT_MS;
+    if (suspicions->count == UPSTREAM_REPORT_QUORUM &&
+        suspicions->decide_at == 0) {
+        suspicions->decide_at = now + UPSTREAM_SUSPICION_WAIT_MS;
     }
 }
 
-/* A node saw an answer: what others doubted is refuted for a while. */
 static void
-drop_all_doubts(struct upstream_doubts *doubts, uint64_t now)
+refute_suspicions(struct upstream_suspicions *suspicions, uint64_t now)
 {
-    doubts->count = 0;
-    doubts->decide_at = 0;
-    doubts->proved = false;
-    doubts->refuted_at = now;
+    suspicions->count = 0;
+    suspicions->decide_at = 0;
+    suspicions->confirmed = false;
+    suspicions->refuted_at = now;
 }
 
-/* Takes a node's doubt, unless the upstream registered since that data was
- * sent. */
+/* Ignores data that was sent before the last registration. */
 void
-upstream_take_doubt(struct upstream_set *set, uint64_t now, uint64_t id,
-                    uint32_t node, uint32_t quiet_ms)
+upstream_report_suspicion(struct upstream_set *set, uint64_t now, uint64_t id,
+                          uint32_t node, uint32_t quiet_ms)
 {
     struct upstream *upstream = upstream_by_id(set, id);
 
@@ -138,66 +130,64 @@
         return;
     }
     if (quiet_ms == 0) {
-        drop_all_doubts(&upstream->doubts, now);
+        refute_suspicions(&upstream->suspicions, now);
     }
-    else if (now > upstream->heard_at + quiet_ms) {
-        add_doubt(&upstream->doubts, now, node);
-        if (upstream->doubts.decide_at != 0) {
-            upstream_note_due(set, upstream->doubts.decide_at);
+    else if (now > upstream->last_registered_at + quiet_ms) {
+        add_suspicion(&upstream->suspicions, now, node);
+        if (upstream->suspicions.decide_at != 0) {
+            upstream_schedule(set, upstream->suspicions.decide_at);
         }
     }
 }
 
-/* Counts a node among those that were answered too soon; true when there are
- * enough of them. */
+/* Adds a report, in place of the node's previous or the oldest one; true when
+ * the quorum is reached. */
 static bool
-note_too_soon(struct upstream_too_soon *told, uint64_t now, uint32_t node)
+add_outlier_report(struct upstream_outlier_reports *reports, uint64_t now,
+                   uint32_t node)
 {
-    size_t place = 0;
+    size_t slot = 0;
     size_t count = 0;
 
-    for (size_t i = 0; i < UPSTREAM_DOUBTERS; i++) {
-        if (told->nodes[i] == node) {
-            place = i;
+    for (size_t i = 0; i < UPSTREAM_REPORT_QUORUM; i++) {
+        if (reports->nodes[i] == node) {
+            slot = i;
             break;
         }
-        if (told->until[i] < told->until[place]) {
-            place = i;
+        if (reports->until[i] < reports->until[slot]) {
+            slot = i;
         }
     }
-    told->nodes[place] = node;
-    told->until[place] = now + TOO_SOON_MS;
-    for (size_t i = 0; i < UPSTREAM_DOUBTERS; i++) {
-        count += now < told->until[i];
+    reports->nodes[slot] = node;
+    reports->until[slot] = now + OUTLIER_REPORT_MS;
+    for (size_t i = 0; i < UPSTREAM_REPORT_QUORUM; i++) {
+        count += now < reports->until[i];
     }
-    return count == UPSTREAM_DOUBTERS;
+    return count == UPSTREAM_REPORT_QUORUM;
 }
 
-/* Takes a node's word that an upstream answered far too soon. Several nodes,
- * since one may have a caller whose requests are light. Each time that it is
- * called sick again it stays so for longer, so that one that goes on failing
- * gets fewer and fewer new flows, and one that is well again is not kept away
- * for long the first time. */
+/* A quorum, since a single node may have a caller with light requests.
+ * Repeated ejections last longer, so that an upstream that keeps failing gets
+ * fewer and fewer new flows. */
 void
-upstream_take_too_soon(struct upstream_set *set, uint64_t now, uint64_t id,
-                       uint32_t node)
+upstream_report_outlier(struct upstream_set *set, uint64_t now, uint64_t id,
+                        uint32_t node)
 {
     struct upstream *upstream = upstream_by_id(set, id);
-    uint32_t times;
+    uint32_t doublings;
 
     if (upstream == NULL || upstream->state != UPSTREAM_READY ||
         upstream->keeper != set->self || fault_is(FAULT_NO_SICK) ||
-        !note_too_soon(&upstream->too_soon, now, node) ||
-        now + SICK_RENEW_MS < upstream->sick_until) {
+        !add_outlier_report(&upstream->outlier_reports, now, node) ||
+        now + EJECTION_RENEW_MS < upstream->ejected_until) {
         return;
     }
-    times = MIN(upstream->too_soon.times, SICK_DOUBLES);
-    upstream->too_soon.times++;
-    upstream->sick_until = now + ((uint64_t)SICK_MS << times);
-    upstream_note_change(set, upstream);
+    doublings = MIN(upstream->outlier_reports.ejections, EJECTION_DOUBLINGS);
+    upstream->outlier_reports.ejections++;
+    upstream->ejected_until = now + ((uint64_t)EJECTION_MS << doublings);
+    upstream_queue_change(set, upstream);
 }
 
-/* Next deadline of a record; UINT64_MAX when it has none. */
 static uint64_t
 due_at(const struct upstream *upstream)
 {
@@ -209,66 +199,63 @@
     if (upstream->expire_at != 0) {
         at = upstream->expire_at;
     }
-    return upstream->doubts.decide_at != 0
-               ? MIN(at, upstream->doubts.decide_at)
+    return upstream->suspicions.decide_at != 0
+               ? MIN(at, upstream->suspicions.decide_at)
                : at;
 }
 
-/* Asks others for an upstream that is watched and that this process never
- * heard; false when they were asked before, or there is no need to. */
+/* Queues a query about an upstream that never registered at this process;
+ * false when it is not needed or was sent before. */
 static bool
-ask_others(struct upstream_set *set, uint64_t now, struct upstream *upstream)
+query_others(struct upstream_set *set, uint64_t now, struct upstream *upstream)
 {
-    if (upstream->asked || upstream->heard_at != 0 ||
-        upstream->doubts.decide_at != 0 || fault_is(FAULT_NO_QUESTION)) {
+    if (upstream->queried || upstream->last_registered_at != 0 ||
+        upstream->suspicions.decide_at != 0 || fault_is(FAULT_NO_QUESTION)) {
         return false;
     }
-    upstream->asked = true;
-    upstream->expire_at = now + ANSWER_MS;
-    upstream_note_due(set, upstream->expire_at);
-    g_array_append_val(set->unsure, upstream->token);
+    upstream->queried = true;
+    upstream->expire_at = now + QUERY_TIMEOUT_MS;
+    upstream_schedule(set, upstream->expire_at);
+    g_array_append_val(set->queries, upstream->token);
     return true;
 }
 
-/* Notes which signs of silence there are now. */
 static void
-note_signs(uint64_t now, struct upstream *upstream)
+apply_deadlines(uint64_t now, struct upstream *upstream)
 {
-    struct upstream_doubts *doubts = &upstream->doubts;
+    struct upstream_suspicions *suspicions = &upstream->suspicions;
 
     if (upstream->expire_at != 0 && now >= upstream->expire_at) {
-        upstream->missed = true;
+        upstream->expired = true;
         upstream->expire_at = 0;
     }
-    if (doubts->decide_at != 0 && now >= doubts->decide_at) {
-        doubts->proved = true;
-        doubts->decide_at = 0;
+    if (suspicions->decide_at != 0 && now >= suspicions->decide_at) {
+        suspicions->confirmed = true;
+        suspicions->decide_at = 0;
     }
 }
 
-/* Concludes from the signs: one of them makes an upstream silent, both make it
- * lost. Its registrations may stay away since it is cut from control alone,
- * and three nodes may lack answers since they are cut from it: neither ends
- * flows of others. Both at once, while no node has seen an answer for a
- * second, leave nobody for whom it lives. */
+/* One sign makes an upstream SILENT, both make it LOST. Missed registrations
+ * alone may mean that it is cut off from the control plane, suspicions alone
+ * that three nodes are cut off from it; neither may end other nodes' flows. */
 static void
-conclude(struct upstream_set *set, uint64_t now, struct upstream *upstream)
+update_state(struct upstream_set *set, uint64_t now, struct upstream *upstream)
 {
-    const struct upstream_doubts *doubts = &upstream->doubts;
+    const struct upstream_suspicions *suspicions = &upstream->suspicions;
 
-    if (upstream->missed || doubts->proved) {
-        upstream_fall_silent(set, now, upstream, true);
+    if (upstream->expired || suspicions->confirmed) {
+        upstream_mark_silent(set, now, upstream, true);
     }
-    if (upstream->state == UPSTREAM_SILENT && upstream->missed &&
-        doubts->proved && now > doubts->refuted_at + REFUTED_MS &&
+    if (upstream->state == UPSTREAM_SILENT && upstream->expired &&
+        suspicions->confirmed && now > suspicions->refuted_at + REFUTED_MS &&
         !fault_is(FAULT_NO_SECOND_SIGN)) {
-        believe(set, now, upstream, UPSTREAM_LOST, true);
+        set_state(set, now, upstream, UPSTREAM_LOST, true);
     }
 }
 
-/* Lets time pass. Registrations put deadlines off, so the records are looked
- * at only once the earliest that was ever noted is over: about once in half of
- * an interval instead of at each wake-up. */
+/* Registrations only extend deadlines, so `due_at` is a lower bound; the
+ * records are scanned when it passes, about twice per interval, instead of at
+ * each wake-up. */
 void
 upstream_tick(struct upstream_set *set, uint64_t now)
 {
@@ -280,29 +267,27 @@
         struct upstream *upstream = g_ptr_array_index(set->all, i - 1);
 
         if (now < due_at(upstream)) {
-            upstream_note_due(set, due_at(upstream));
+            upstream_schedule(set, due_at(upstream));
         }
         else if (upstream->state == UPSTREAM_GONE) {
             upstream_drop(set, upstream);
         }
-        else if (!ask_others(set, now, upstream)) {
-            note_signs(now, upstream);
-            conclude(set, now, upstream);
-            upstream_note_due(set, due_at(upstream));
+        else if (!query_others(set, now, upstream)) {
+            apply_deadlines(now, upstream);
+            update_state(set, now, upstream);
+            upstream_schedule(set, due_at(upstream));
         }
     }
 }
 
-/* No deadline is earlier. */
 uint64_t
 upstream_deadline(const struct upstream_set *set)
 {
     return set->due_at;
 }
 
-/* Puts off what is to be noticed. */
 void
-upstream_excuse(struct upstream_set *set, uint64_t now, uint64_t gap)
+upstream_extend_deadlines(struct upstream_set *set, uint64_t now, uint64_t gap)
 {
     if (fault_is(FAULT_NO_EXCUSE)) {
         return;
@@ -317,11 +302,10 @@
     }
 }
 
-/* Watches what a lost keeper watched. */
 void
 upstream_adopt(struct upstream_set *set, uint64_t now, uint32_t keeper)
 {
-    uint64_t deadline = upstream_moved_expiry(set, now);
+    uint64_t deadline = upstream_failover_expiry(set, now);
 
     for (guint i = 0; i < set->all->len; i++) {
         struct upstream *upstream = g_ptr_array_index(set->all, i);
@@ -329,7 +313,7 @@
         if (upstream->keeper == keeper && upstream->expire_at == 0 &&
             upstream->state < UPSTREAM_SILENT) {
             upstream->expire_at = deadline;
-            upstream_note_due(set, deadline);
+            upstream_schedule(set, deadline);
         }
     }
 }
--- a/upstream.h
+++ b/upstream.h
@@ -1,12 +1,10 @@
 /**
  * @file upstream.h
- * The inventory of upstreams that register themselves, beside the bundle:
- * one record for each id, of the latest start under it, merged by a rule that
- * does not depend on the order of arrival, so that every node ends with the
- * same. Owns the
- * records and the names of services; the counts of flows and what packets
- * tell in a record belong to evidence.c. Does no I/O: others spread what
- * `changed` lists.
+ * The inventory of upstreams that register themselves: one record per id,
+ * merged by a commutative last-writer-wins rule (a state-based CRDT, Shapiro
+ * et al. 2011), with keeper-side failure detection and refutation as in SWIM
+ * (Das et al. 2002). Does no I/O: callers broadcast the ids in `changed`;
+ * evidence.c maintains the flow counters and the packet-derived fields.
  */
 #ifndef RIDGERIDGE_UPSTREAM_H
 #define RIDGERIDGE_UPSTREAM_H
@@ -20,282 +18,270 @@
 #include "warmup.h"
 
 #define UPSTREAM_NAME_MAX 63
-#define UPSTREAM_GONE_MS                                                      \
-    60000U /**< a gone record is kept this long, so that                      \
-                no late message brings it back */
+#define UPSTREAM_TOMBSTONE_MS                                                 \
+    60000U /**< GONE records are retained this long, so that a delayed        \
+                message cannot restore them */
 #define UPSTREAM_NO_SERVICE UINT16_MAX
-#define UPSTREAM_DOUBTERS                                                     \
-    3 /**< nodes that together prove that an upstream does not answer: one    \
-           may have a full link, two may share a rack */
-#define UPSTREAM_DOUBT_MS                                                     \
-    1000U /**< a node's doubt counts so long; copies of data come 0.2 and     \
-               0.4 s apart at first */
-#define UPSTREAM_DOUBT_WAIT_MS                                                \
-    100U /**< after the last of them: the answer to the copy that made a      \
-              node doubt comes within it, and that node says so */
-
-/** What is believed of an incarnation; at equal sequence the higher wins. */
+#define UPSTREAM_REPORT_QUORUM                                                \
+    3 /**< nodes that must report the same upstream: one may have a full      \
+           link, two may share a rack */
+#define UPSTREAM_SUSPICION_MS                                                 \
+    1000U /**< lifetime of a node's suspicion; the first retransmissions      \
+               come 200 and 400 ms apart */
+#define UPSTREAM_SUSPICION_WAIT_MS                                            \
+    100U /**< wait after the quorum: an answer to the retransmission that     \
+              caused a suspicion arrives, and is reported, within it */
+
+/** State of an upstream; at equal sequence numbers the higher one wins. */
 enum upstream_state {
     UPSTREAM_READY,   /**< takes new flows */
     UPSTREAM_LEAVING, /**< keeps its flows, takes no new ones */
-    UPSTREAM_SILENT,  /**< its registrations stayed away, or several nodes
+    UPSTREAM_SILENT,  /**< missed its registrations, or a quorum of nodes
                            got no answer */
-    UPSTREAM_LOST, /**< both, and nobody saw an answer: its open flows end */
-    UPSTREAM_GONE  /**< it said that it ends; never comes back */
+    UPSTREAM_LOST,    /**< both, and no node saw an answer: open flows end */
+    UPSTREAM_GONE     /**< deregistered; final for this start */
 };
 
-/** What an upstream says when it registers. */
+/** A registration as received from an upstream. */
 struct upstream_registration {
-    uint64_t id;                         /**< of this incarnation */
-    char service[UPSTREAM_NAME_MAX + 1]; /**< which it serves */
-    char hall[UPSTREAM_NAME_MAX + 1];    /**< data hall it runs in */
+    uint64_t id;                         /**< of the upstream */
+    char service[UPSTREAM_NAME_MAX + 1]; /**< service name */
+    char hall[UPSTREAM_NAME_MAX + 1];    /**< data hall */
     uint32_t address;                    /**< IPv4, host order */
-    uint16_t port;                       /**< where packets go */
-    uint32_t slots;                      /**< requests it runs at once */
-    bool leaving;                        /**< it is about to end */
-    uint32_t warm_ms;                    /**< how much longer it is slow */
+    uint16_t port;                       /**< destination port */
+    uint32_t slots;                      /**< concurrent requests */
+    bool leaving;                        /**< shutting down */
+    uint32_t warm_ms;                    /**< remaining warm-up, ms */
     uint64_t sequence;                   /**< rises with each registration */
-    uint64_t born;                       /**< ms since 1970 by its own clock:
-                                              of this start; 0: not stated */
+    uint64_t started_at;                 /**< start time by the upstream's
+                                              clock, ms since 1970; 0: not
+                                              stated */
 };
 
-/** Nodes that an upstream answered far too soon, as told to the one that hears
- * it. */
-struct upstream_too_soon {
-    uint32_t nodes[UPSTREAM_DOUBTERS]; /**< addresses */
-    uint64_t until[UPSTREAM_DOUBTERS]; /**< deadlines: count no longer */
-    uint32_t times;                    /**< that it was called sick */
+/** Outlier reports that the keeper received: nodes that an upstream answered
+ * far faster than its peers do. */
+struct upstream_outlier_reports {
+    uint32_t nodes[UPSTREAM_REPORT_QUORUM]; /**< addresses */
+    uint64_t until[UPSTREAM_REPORT_QUORUM]; /**< deadlines of the reports */
+    uint32_t ejections;                     /**< so far */
 };
 
-/** Nodes that got no answer of an upstream, as told to the one that hears it.
- */
-struct upstream_doubts {
-    uint32_t nodes[UPSTREAM_DOUBTERS]; /**< addresses */
-    uint64_t until[UPSTREAM_DOUBTERS]; /**< deadlines: count no longer */
-    uint32_t count;                    /**< of both */
-    uint64_t decide_at;                /**< deadline: silent then, if the
-                                            doubts stand; 0: too few */
-    bool proved;                       /**< they stood */
-    uint64_t refuted_at;               /**< a node said that it answers */
+/** Suspicions that the keeper received: nodes that an upstream left without
+ * an answer. */
+struct upstream_suspicions {
+    uint32_t nodes[UPSTREAM_REPORT_QUORUM]; /**< addresses */
+    uint64_t until[UPSTREAM_REPORT_QUORUM]; /**< deadlines of the reports */
+    uint32_t count;                         /**< entries in both arrays */
+    uint64_t decide_at;  /**< deadline: confirmed then unless refuted; 0: no
+                              quorum yet */
+    bool confirmed;      /**< a quorum stood until `decide_at` */
+    uint64_t refuted_at; /**< last report of an answer */
 };
 
-/** One incarnation. */
+/** One upstream. Deadlines are in ms by the clock of loop_now(). */
 struct upstream {
     uint64_t id;                      /**< as registered */
-    uint32_t token;                   /**< names it in packets; never 0 */
-    bool named;                       /**< no older one had the same token */
-    uint32_t mark;                    /**< upstream_mark() in its digest */
-    uint16_t service;                 /**< handle of its service's name */
+    uint32_t token;                   /**< its number in packets; never 0 */
+    bool has_token;                   /**< found by `token`; false when an
+                                           older record has the same one */
+    uint32_t digest;                  /**< its share of the set's digests */
+    uint16_t service;                 /**< handle of the service's name */
     char hall[UPSTREAM_NAME_MAX + 1]; /**< data hall */
-    uint32_t hall_hash;               /**< of its name, as nodes tell theirs */
-    bool emptied;                     /**< its hall is: it gets no new flows */
+    uint32_t hall_hash;               /**< hash_name() of `hall`, 32 bits */
+    bool drained;                     /**< its hall is drained: no new flows */
     uint32_t address;                 /**< IPv4, host order */
     uint16_t port;                    /**< UDP */
-    uint64_t place;                   /**< both, as its key in `by_place`; 0:
-                                           it is not there */
-    struct upstream *next_there;      /**< another one at that place */
-    uint32_t slots;                   /**< requests it runs at once */
-    enum upstream_state state;        /**< what is believed */
-    uint64_t born;                    /**< start that is believed to run, ms
-                                           since 1970; 0: not stated */
-    uint64_t sequence;                /**< of the registration believed */
-    uint32_t keeper;                  /**< node that hears it, by address */
-    uint64_t changed_at;              /**< a node heard its state and keeper,
-                                           by this node's clock */
-    uint64_t warm_at;                 /**< deadline: cold until then, by its
-                                           own word */
-    uint64_t back_at;                 /**< deadline: counts as cold until then,
-                                           since its hall was taken back: it
-                                           may have gone cold before, and its
-                                           word comes later */
-    uint64_t cold_next_at;            /**< deadline: while it is cold, this
-                                           node may send it the next flow */
-    bool owned;                       /**< by this node, while it is cold, by
-                                           the nodes of `owned_of` */
-    uint64_t owned_of;                /**< version of the nodes, 0: none */
-    uint64_t expire_at;               /**< deadline: its registrations stayed
-                                           away then; 0: another node watches
-                                           it */
-    bool missed;                      /**< they stayed away */
-    uint64_t heard_at;                /**< this process heard it register
-                                           last; 0: never */
-    bool asked;                       /**< others were asked whether it has
-                                           turned to another node */
-    uint64_t contradict_at;           /**< deadline: what other nodes believe
-                                           wrongly may be corrected again */
-    struct upstream_doubts doubts;    /**< told to this node */
-    struct upstream_too_soon too_soon; /**< told to this node */
-    uint64_t sick_until;    /**< deadline: no new flows until then, if
-                                 there are others: it answers far too
-                                 soon, so it fails what it is sent */
-    uint64_t too_soon_at;   /**< deadline: this node's own word of it
-                                 may be told again */
-    uint64_t doubt_at;      /**< deadline: this node's own doubt may
-                                 be told again; 0: it has none */
-    uint64_t vouch_at;      /**< deadline: that it answers, though it
-                                 is thought silent, may be told again
-                                 */
-    uint64_t forget_at;     /**< GONE: dropped then */
-    uint64_t suspect_until; /**< no new flows until then, if there
-                                 are others: a first packet went
-                                 without an answer */
-    uint64_t alive_at;      /**< last sign of life in a packet */
-    uint32_t took_us;       /**< time of an answer, as lately seen by
-                                 this node; 0: not known */
-    uint64_t took_until;    /**< deadline: not known any more */
-    uint32_t open;          /**< flows of this node that are open */
-    uint32_t busy;          /**< of those, awaiting an answer */
+    uint64_t endpoint_key;            /**< its key in `by_endpoint`; 0: not
+                                           indexed */
+    struct upstream *next_at_endpoint; /**< next with the same key */
+    uint32_t slots;                    /**< concurrent requests */
+    enum upstream_state state;         /**< current state */
+    uint64_t started_at;           /**< newest start seen, ms since 1970; 0:
+                                        not stated */
+    uint64_t sequence;             /**< of the registration in force */
+    uint32_t keeper;               /**< address of the node that receives its
+                                        registrations */
+    uint64_t changed_at;           /**< last change of state or keeper, by this
+                                        node's clock */
+    uint64_t warmup_until;         /**< deadline: end of the warm-up stated by
+                                        the upstream */
+    uint64_t undrain_warmup_until; /**< deadline: end of the warm-up assumed
+                                        after its hall was undrained, since an
+                                        idle upstream may have to warm up */
+    uint64_t warmup_next_at;       /**< deadline: next new flow from this node
+                                        during warm-up */
+    bool is_warmup_owner;          /**< this node is one of the owners that
+                                        send flows during warm-up */
+    uint64_t owners_version;       /**< version of the member list that
+                                        `is_warmup_owner` is for; 0: none */
+    uint64_t expire_at;            /**< deadline of the next registration; 0:
+                                        another node watches it */
+    bool expired;                  /**< `expire_at` passed */
+    uint64_t last_registered_at;   /**< at this process; 0: never */
+    bool queried;                  /**< other nodes were asked where it
+                                        registers */
+    uint64_t next_refute_at;       /**< deadline: other nodes' wrong state may
+                                        be refuted again */
+    struct upstream_suspicions suspicions;           /**< received as keeper */
+    struct upstream_outlier_reports outlier_reports; /**< received as keeper */
+    uint64_t ejected_until;          /**< deadline: gets no new flows while
+                                          there are others; ejected as an
+                                          outlier that fails fast */
+    uint64_t next_outlier_report_at; /**< deadline: this node may repeat its
+                                          outlier report */
+    uint64_t next_suspicion_at;      /**< deadline: this node may repeat its
+                                          suspicion; 0: it has none */
+    uint64_t next_alive_report_at;   /**< deadline: this node may report again
+                                          that a SILENT upstream answers */
+    uint64_t forget_at;              /**< deadline: a GONE record is dropped */
+    uint64_t suspect_until;          /**< deadline: gets no new flows while
+                                          there are others; a first packet was
+                                          not answered */
+    uint64_t last_progress_at;       /**< last answer seen in a packet */
+    uint32_t latency_us;             /**< smoothed response time at this node;
+                                          0: unknown */
+    uint64_t latency_until;          /**< deadline: `latency_us` is stale */
+    uint32_t open;                   /**< open flows of this node */
+    uint32_t busy;                   /**< of those, awaiting an answer */
 };
 
-/** This node's word about an upstream, to be told to the node that hears it.
- */
-struct upstream_doubt {
+/** This node's report on an upstream, to be sent to its keeper. */
+struct upstream_suspicion {
     uint64_t id;       /**< of the upstream */
-    uint32_t quiet_ms; /**< age of the data without an answer; 0: it
-                            answered after all */
-    bool too_soon;     /**< it answered far sooner than its peers do */
+    uint32_t quiet_ms; /**< age of the unanswered data; 0: answered */
+    bool outlier;      /**< answers far faster than its peers */
 };
 
-/** What another node told anew of an upstream. */
-struct upstream_told {
+/** A change of an upstream learned from another node. */
+struct upstream_learned {
     uint64_t id;     /**< of the upstream */
-    uint32_t age_ms; /**< since a node had heard it */
+    uint32_t age_ms; /**< of the change */
 };
 
 /** The inventory of one node. */
 struct upstream_set {
-    uint32_t self;        /**< this node's address */
-    uint64_t interval_ms; /**< between the registrations of an upstream */
-    GPtrArray *all;       /**< struct upstream, owned, by token: the same
-                               order at every node */
-    GHashTable *by_id;    /**< uint64_t to struct upstream */
-    GHashTable *by_place; /**< address and port to the first struct upstream
-                               of those there, chained by `next_there` */
-    GPtrArray *buckets[WIRE_BUCKETS]; /**< the same as `all`, by bucket of
-                                           their tokens */
+    uint32_t self;           /**< this node's address */
+    uint64_t interval_ms;    /**< registration interval */
+    GPtrArray *all;          /**< struct upstream, owned, sorted by token: the
+                                  same order at every node */
+    GHashTable *by_id;       /**< uint64_t to struct upstream */
+    GHashTable *by_endpoint; /**< address and port to a list of struct
+                                  upstream, chained by `next_at_endpoint` */
+    GPtrArray *buckets[WIRE_BUCKETS]; /**< the records of `all` by token modulo
+                                           WIRE_BUCKETS, borrowed */
     GHashTable *by_token;             /**< uint32_t to struct upstream */
     GPtrArray *services;              /**< names, by handle */
-    GArray *limits;        /**< struct warmup_limit, by service's handle */
-    struct hall_set halls; /**< that operators have emptied */
-    GArray *changed;       /**< uint64_t: ids to be spread */
-    GArray *doubted;       /**< struct upstream_doubt: to be told */
-    GArray *told;          /**< struct upstream_told: to be logged */
-    GArray *unsure;        /**< uint32_t: tokens of upstreams that others are
-                                to be asked for */
-    uint64_t change_count; /**< changes so far, own and merged */
-    uint32_t digests[WIRE_BUCKETS]; /**< sums of the records' marks, by bucket
-                                         of their tokens */
-    uint64_t due_at;                /**< no deadline of a record is earlier;
-                                         UINT64_MAX: there is none */
+    GArray *limits;        /**< struct warmup_limit, by service handle */
+    struct hall_set halls; /**< drained halls */
+    GArray *changed;       /**< uint64_t: ids to broadcast */
+    GArray *suspicions;    /**< struct upstream_suspicion: to send */
+    GArray *learned;       /**< struct upstream_learned: to log */
+    GArray *queries;       /**< uint32_t: tokens to ask other nodes about */
+    uint64_t change_count; /**< changes so far, local and merged */
+    uint32_t digests[WIRE_BUCKETS]; /**< sums of the records' digests, by
+                                         bucket */
+    uint64_t due_at;                /**< lower bound of the records' deadlines;
+                                         UINT64_MAX: none */
 };
 
-/** Makes an empty inventory. */
 void upstream_open(struct upstream_set *set, uint32_t self,
                    uint64_t interval_ms);
 
-/** Frees it. */
 void upstream_close(struct upstream_set *set);
 
-/** Handle of a service's name, made when it is new. */
+/** Handle of a service name, added when new; UPSTREAM_NO_SERVICE when the
+ * table is full. */
 uint16_t upstream_service(struct upstream_set *set, const char *name);
 
-/** Name of a service's handle; "" when there is none. */
+/** Name of a service handle; "" when there is none. */
 const char *upstream_service_name(const struct upstream_set *set,
                                   uint16_t service);
 
-/** Sets what the upstreams of a service bear while they are cold. */
-void upstream_set_limit(struct upstream_set *set, uint16_t service,
-                        const struct warmup_limit *limit);
+void upstream_set_warmup_limit(struct upstream_set *set, uint16_t service,
+                               const struct warmup_limit *limit);
 
-/** What the upstreams of a service bear; no bound where none was set. */
-struct warmup_limit upstream_limit(const struct upstream_set *set,
-                                   uint16_t service);
+/** Warm-up limit of a service; unbounded when none was set. */
+struct warmup_limit upstream_warmup_limit(const struct upstream_set *set,
+                                          uint16_t service);
 
-/** Says whether an upstream is cold, or may be. */
-bool upstream_is_cold(const struct upstream *upstream, uint64_t now);
+bool upstream_is_warming_up(const struct upstream *upstream, uint64_t now);
 
-/** Token of an incarnation: a hash of its id that is never 0. */
+/** Hash of an upstream's id; never 0. */
 uint32_t upstream_token(uint64_t id);
 
 /**
- * Takes a registration heard by this node, which from now on watches the
- * incarnation. A late one changes nothing: one that was overtaken, or that
- * comes when another incarnation runs at its address.
- * @return false when it was late
+ * Applies a registration received by this node, which becomes the keeper.
+ * @return false when it is out of date: an older sequence or start, or another
+ *         upstream runs at its endpoint
  */
 bool upstream_register(struct upstream_set *set, uint64_t now,
                        const struct upstream_registration *registration);
 
 /**
- * Takes an upstream's word that it ends.
- * @param born of the start that ends, 0: not stated
- * @return false when it may be the late word of an earlier start: none is
- *         stated, and the one that is believed to run has just begun
+ * Applies a deregistration; the record becomes a tombstone.
+ * @param started_at start that ends, 0: not stated
+ * @return false when no start is stated and the record's start is so new that
+ *         the message may belong to an earlier one
  */
 bool upstream_deregister(struct upstream_set *set, uint64_t now, uint64_t id,
-                         uint64_t born);
+                         uint64_t started_at);
 
-/** Takes a record of another node; true when it told something new. */
+/** Merges another node's record; true when the local record changed. */
 bool upstream_merge(struct upstream_set *set, uint64_t now,
                     const wire_upstream *record);
 
 /**
- * Takes a node's word that an upstream which this node hears left data
- * unanswered for `quiet_ms`, or answered after all (0). When UPSTREAM_DOUBTERS
- * of them say so, none sees an answer and it does not register, it is silent.
+ * Applies a node's suspicion of an upstream that this node keeps: data has
+ * been unanswered for `quiet_ms`, or was answered after all (0).
  */
-void upstream_take_doubt(struct upstream_set *set, uint64_t now, uint64_t id,
-                         uint32_t node, uint32_t quiet_ms);
+void upstream_report_suspicion(struct upstream_set *set, uint64_t now,
+                               uint64_t id, uint32_t node, uint32_t quiet_ms);
 
-/**
- * Takes a node's word that an upstream which this node hears answered far
- * sooner than its peers do. When UPSTREAM_DOUBTERS of them say so, it is sick.
- */
-void upstream_take_too_soon(struct upstream_set *set, uint64_t now,
-                            uint64_t id, uint32_t node);
+/** Applies a node's outlier report on an upstream that this node keeps; a
+ * quorum ejects it. */
+void upstream_report_outlier(struct upstream_set *set, uint64_t now,
+                             uint64_t id, uint32_t node);
 
-/** Lets time pass: what this node watches and does not hear is silent. */
+/** Applies the deadlines that have passed. */
 void upstream_tick(struct upstream_set *set, uint64_t now);
 
-/** Drops a record, as if it had never been known. */
+/** Drops a record without a tombstone. */
 void upstream_drop(struct upstream_set *set, struct upstream *upstream);
 
-/** No deadline is earlier than this; UINT64_MAX when there is none. */
+/** Time of the next upstream_tick(), ms; UINT64_MAX: none. */
 uint64_t upstream_deadline(const struct upstream_set *set);
 
-/** Puts off what is to be noticed, after this process itself stood still. */
-void upstream_excuse(struct upstream_set *set, uint64_t now, uint64_t gap);
+/** Extends the registration deadlines by a stall of this process.
+ * @param gap duration of the stall, ms */
+void upstream_extend_deadlines(struct upstream_set *set, uint64_t now,
+                               uint64_t gap);
 
-/**
- * Watches upstreams whose keeper is lost: unless another node hears them in
- * time to turn to, they are silent.
- */
+/** Watches the upstreams of a failed keeper: they are silent unless they
+ * register at another node in time. */
 void upstream_adopt(struct upstream_set *set, uint64_t now, uint32_t keeper);
 
 /**
- * Takes which halls are emptied; their upstreams get no new flows from now on.
- * Those of a hall that is taken back count as cold for as long as their
- * service says.
- * @return false when the set is not newer than the one held
+ * Updates the drained halls. Upstreams of a hall that was undrained warm up
+ * again.
+ * @return false when `halls` is not newer than the current list
  */
-bool upstream_empty_halls(struct upstream_set *set, uint64_t now,
+bool upstream_drain_halls(struct upstream_set *set, uint64_t now,
                           const wire_halls *halls);
 
-/** Finds an incarnation by the token in a packet; NULL when unknown. */
+/** NULL when unknown. */
 struct upstream *upstream_by_token(const struct upstream_set *set,
                                    uint32_t token);
 
-/** Finds an incarnation by id; NULL when unknown. */
+/** NULL when unknown. */
 struct upstream *upstream_by_id(const struct upstream_set *set, uint64_t id);
 
-/** Name of a state in logs and pages. */
 const char *upstream_state_name(enum upstream_state state);
 
-/** Hash of a record: who, which start, what state, heard by whom. The sequence
- * is left out, since it rises all the time. */
-uint32_t upstream_mark(const struct upstream *upstream);
+/** Hash of a record's id, start, state and keeper, but not of its sequence,
+ * which rises with each registration. */
+uint32_t upstream_digest(const struct upstream *upstream);
 
-/** Digests of the records, by bucket, so that two nodes can compare. */
+/** Copies the digests of all buckets, for comparison between nodes. */
 void upstream_digests(const struct upstream_set *set,
                       uint32_t out[WIRE_BUCKETS]);
 
--- a/warmup.c
+++ b/warmup.c
@@ -1,4 +1,4 @@
-/* Who may send new flows to a cold upstream, and how many. */
+/* Rendezvous hashing of warm-up owners and the owner count per service. */
 #include "warmup.h"
 
 #include <string.h>
@@ -7,44 +7,41 @@
 
 #define MILLI 1000U
 
-/* What a service's upstreams bear. */
 struct warmup_limit
-warmup_limit_of(uint64_t cold_ms, uint64_t rate_milli,
+warmup_limit_of(uint64_t warmup_ms, uint64_t rate_milli,
                 uint64_t overshoot_milli, uint64_t slack_milli)
 {
     uint64_t bound = rate_milli * overshoot_milli / MILLI + slack_milli;
 
     return (struct warmup_limit){
-        .cold_ms = cold_ms,
+        .warmup_ms = warmup_ms,
         .bounded = rate_milli > 0,
         .owners = (uint32_t)MIN(bound / MILLI / WARMUP_VIEWS, UINT32_MAX)};
 }
 
-/* Rank of a node as an owner of an upstream; the highest own it. */
+/* Rendezvous weight; the highest ones are owners. */
 static uint64_t
-rank_of(uint32_t node, uint64_t id)
+weight_of(uint32_t node, uint64_t id)
 {
     return hash_pair(HASH_RANK, node, id);
 }
 
-/* Says whether this node is among the owners. */
 bool
-warmup_owns(const struct warmup_nodes *nodes, uint32_t owners, uint64_t id)
+warmup_is_owner(const struct warmup_nodes *nodes, uint32_t owners, uint64_t id)
 {
-    uint64_t own = rank_of(nodes->self, id);
-    uint32_t before = 0;
+    uint64_t own = weight_of(nodes->self, id);
+    uint32_t higher = 0;
 
-    for (guint i = 0; i < nodes->all->len && before < owners; i++) {
+    for (guint i = 0; i < nodes->all->len && higher < owners; i++) {
         uint32_t other = g_array_index(nodes->all, uint32_t, i);
 
-        before += other != nodes->self && rank_of(other, id) > own;
+        higher += other != nodes->self && weight_of(other, id) > own;
     }
-    return nodes->all->len > 0 && before < owners;
+    return nodes->all->len > 0 && higher < owners;
 }
 
-/* Orders addresses. */
 static gint
-by_address(gconstpointer a, gconstpointer b)
+compare_addresses(gconstpointer a, gconstpointer b)
 {
     uint32_t one = *(const uint32_t *)a;
     uint32_t other = *(const uint32_t *)b;
@@ -52,11 +49,10 @@
     return one < other ? -1 : one > other;
 }
 
-/* Takes the nodes that are known. */
 void
 warmup_set_nodes(struct warmup_nodes *nodes, GArray *all)
 {
-    g_array_sort(all, by_address);
+    g_array_sort(all, compare_addresses);
     if (all->len == nodes->all->len &&
         (all->len == 0 || memcmp(all->data, nodes->all->data,
                                  all->len * sizeof(uint32_t)) == 0)) {
--- a/warmup.h
+++ b/warmup.h
@@ -1,13 +1,11 @@
 /**
  * @file warmup.h
- * How many new flows an upstream gets while it is cold: it has just begun, and
- * bears a bounded rate of them from all nodes together. Nodes decide alone and
- * each sees a fraction, so a few of them own each cold upstream, by rendezvous
- * hashing over the nodes that are known (Thaler and Ravishankar, 1998), and
- * each owner sends it one flow a second. All others send it none. Pure
- * arithmetic: who is known and what is cold is told by others.
+ * Slow start of upstreams: bounds the rate of new flows that an upstream gets
+ * from all nodes together while it warms up. A few owner nodes per upstream,
+ * chosen by rendezvous hashing (Thaler and Ravishankar, 1998), send it one
+ * flow per WARMUP_FLOW_INTERVAL_MS each; all other nodes send none.
  *
- * Ways weighed are in docs/design/shifted-work.md.
+ * Alternatives are compared in docs/design/shifted-work.md.
  */
 #ifndef RIDGERIDGE_WARMUP_H
 #define RIDGERIDGE_WARMUP_H
@@ -16,46 +14,46 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define WARMUP_PACE_MS                                                        \
-    1001U /**< an owner sends a cold upstream a flow so often: no second      \
-               holds two of them */
+#define WARMUP_FLOW_INTERVAL_MS                                               \
+    1001U /**< between an owner's flows to an upstream; more than a second,   \
+               so that no second contains two */
 #define WARMUP_VIEWS                                                          \
-    3U /**< a bound is divided by so many: while nodes are cut off from each  \
-            other, join or begin anew, their views of who owns an upstream    \
-            differ, and the owners of all views send */
+    3U /**< member lists that may be in use at once, during partitions, joins \
+            and restarts; the owners by each of them send, so each view gets  \
+            this fraction of the bound */
 
-/** What the upstreams of one service bear while they are cold. */
+/** Warm-up limit of one service. */
 struct warmup_limit {
-    uint64_t cold_ms; /**< an upstream is cold so long after its start */
-    bool bounded;     /**< there is a bound on new flows */
-    uint32_t owners;  /**< nodes that own each of them */
+    uint64_t warmup_ms; /**< warm-up after a start */
+    bool bounded;       /**< new flows are limited */
+    uint32_t owners;    /**< owner nodes per upstream */
 };
 
-/** The nodes among which owners are found. */
+/** Candidate owners. */
 struct warmup_nodes {
     uint32_t self;    /**< this node */
-    GArray *all;      /**< uint32_t: addresses, this one with them; empty while
-                           not all are known: this node then owns nothing */
-    uint64_t version; /**< rises when they change */
+    GArray *all;      /**< uint32_t: addresses, sorted, including `self`; empty
+                           until all are known: this node then owns nothing */
+    uint64_t version; /**< rises with each change of `all` */
 };
 
 /**
- * What a service's upstreams bear.
- * @param cold_ms how long each is cold
- * @param rate_milli stated rate, in thousandths of a flow a second; 0: no
- * bound
- * @param overshoot_milli how far it may be passed, in thousandths of itself
- * @param slack_milli and beyond that, in thousandths of a flow a second
+ * Computes the warm-up limit of a service.
+ * @param warmup_ms duration of the warm-up
+ * @param rate_milli rate stated by the service, in 1/1000 flow/s; 0: no limit
+ * @param overshoot_milli permitted peak, in 1/1000 of the stated rate
+ * @param slack_milli added to the peak, in 1/1000 flow/s
  */
-struct warmup_limit warmup_limit_of(uint64_t cold_ms, uint64_t rate_milli,
+struct warmup_limit warmup_limit_of(uint64_t warmup_ms, uint64_t rate_milli,
                                     uint64_t overshoot_milli,
                                     uint64_t slack_milli);
 
-/** Says whether this node is among the `owners` of an upstream. */
-bool warmup_owns(const struct warmup_nodes *nodes, uint32_t owners,
-                 uint64_t id);
+/** Whether this node is one of the `owners` highest-ranked nodes of an
+ * upstream. */
+bool warmup_is_owner(const struct warmup_nodes *nodes, uint32_t owners,
+                     uint64_t id);
 
-/** Takes the nodes that are known, in any order; sorts `all`. */
+/** Replaces the candidate owners; sorts `all`. */
 void warmup_set_nodes(struct warmup_nodes *nodes, GArray *all);
 
 #endif
