--- a/cmd-explain.c
+++ b/cmd-explain.c
@@ -357,7 +357,7 @@
 static enum status_kind
 explain_refusal(const char **args, struct status *st)
 {
-    enum ring_rule rule = args[0] ? ring_rule_from(args[0]) : RULE_COUNT;
+    enum ring_rule rule = args[0] ? ring_rule_parse(args[0]) : RULE_COUNT;
 
     if (rule == RULE_COUNT) {
         return status_set(st, STATUS_BAD_INPUT,
--- a/entry-packets.c
+++ b/entry-packets.c
@@ -52,7 +52,7 @@
 send_to_fabric(struct entry *entry, struct packet *packet)
 {
     size_t length;
-    uint8_t *at = packet_wrap(packet, NULL, &length);
+    uint8_t *at = packet_encapsulate(packet, NULL, &length);
 
     send_to(entry->settings.fabric.address,
             (uint16_t)entry->settings.fabric.port, at, length);
@@ -63,9 +63,9 @@
 hand(struct entry *entry, struct packet *packet,
      const struct flow_verdict *verdict)
 {
-    struct packet_handed option = {.origin = verdict->origin,
-                                   .position = verdict->position,
-                                   .hops = verdict->hops};
+    struct packet_forwarding option = {.origin = verdict->origin,
+                                       .position = verdict->position,
+                                       .hops = verdict->hops};
     const struct member *peer = member_find(&entry->core->all, verdict->peer);
     size_t length;
     uint8_t *at;
@@ -74,7 +74,7 @@
         return;
     }
     memcpy(option.asked, verdict->asked, sizeof(option.asked));
-    at = packet_wrap(packet, &option, &length);
+    at = packet_encapsulate(packet, &option, &length);
     send_to(peer->address, peer->fabric, at, length);
 }
 
@@ -84,17 +84,17 @@
       struct packet *packet)
 {
     struct flow_packet question = {.hash = packet_hash(packet),
-                                   .origin = packet->hand.origin,
+                                   .origin = packet->forwarding.origin,
                                    .service = service,
                                    .first = packet->first,
                                    .closing = packet->closing,
                                    .handed = packet->handed,
-                                   .position = packet->hand.position,
-                                   .hops = packet->hand.hops};
+                                   .position = packet->forwarding.position,
+                                   .hops = packet->forwarding.hops};
     const struct flow_upstream *upstream;
     struct flow_verdict verdict;
 
-    memcpy(question.asked, packet->hand.asked, sizeof(question.asked));
+    memcpy(question.asked, packet->forwarding.asked, sizeof(question.asked));
     flow_steer(entry->core->flow, now, wall, &question, &verdict);
     switch (verdict.action) {
     case FLOW_FORWARD:
--- a/entry-status.c
+++ b/entry-status.c
@@ -154,7 +154,8 @@
     json_object_object_add(out, "entry",
                            json_object_new_string(entry->settings.name));
     page_add_hex(out, "id", entry->core->self.id);
-    page_add_number(out, "kept_since", ring_since(&entry->core->ring));
+    page_add_number(out, "kept_since",
+                    ring_overwritten_before(&entry->core->ring));
     for (size_t i = 0; i < count; i++) {
         json_object_array_add(list, record_json(&records[i]));
     }
--- a/evidence-verify.c
+++ b/evidence-verify.c
@@ -76,14 +76,14 @@
     }
     switch ((int)record->rule) {
     case RULE_LEAST_WORK:
-    case RULE_MOVED_OFF:
+    case RULE_REROUTED:
         return proof_of(service_of_route(table, record) == record->service &&
                         service_matches(upstreams, record) &&
                         was_not_drained(upstreams, record));
-    case RULE_SAME_AGAIN:
+    case RULE_RETRANSMISSION:
         /* The first copy may have been sent under an older table. */
         return proof_of(service_matches(upstreams, record));
-    case RULE_HALL_EMPTIED:
+    case RULE_HALLS_DRAINED:
         return record->halls != upstreams->halls.revision
                    ? EVIDENCE_OTHER_HALLS
                    : proof_of(count_drained(table, upstreams, record) > 0);
--- a/evidence.c
+++ b/evidence.c
@@ -243,8 +243,7 @@
     }
     flow->last_seen_at = now;
     flow->expire_at = 0;
-    set_forward(verdict, upstream,
-                rerouted ? RULE_MOVED_OFF : RULE_LEAST_WORK);
+    set_forward(verdict, upstream, rerouted ? RULE_REROUTED : RULE_LEAST_WORK);
 }
 
 /* Rule to report when no upstream is eligible. */
@@ -252,9 +251,9 @@
 no_upstream_rule(const struct evidence_verdict *verdict)
 {
     if (verdict->warming > 0) {
-        return RULE_ALL_COLD;
+        return RULE_ALL_WARMING_UP;
     }
-    return verdict->drained > 0 ? RULE_HALL_EMPTIED : RULE_NO_UPSTREAM;
+    return verdict->drained > 0 ? RULE_HALLS_DRAINED : RULE_NO_UPSTREAM;
 }
 
 static void
@@ -272,7 +271,7 @@
     verdict->non_idempotent = route->kind == ROUTE_NON_IDEMPOTENT;
     if (flow != NULL && keeps_upstream(ev, now, flow, packet, previous)) {
         flow->last_seen_at = now;
-        set_forward(verdict, previous, RULE_SAME_AGAIN);
+        set_forward(verdict, previous, RULE_RETRANSMISSION);
         return;
     }
     upstream = target != NULL ? evidence_choose(ev, now, target->handle,
@@ -280,7 +279,7 @@
                               : NULL;
     if (upstream == NULL && previous != NULL &&
         evidence_accepts_flows(previous)) {
-        set_forward(verdict, previous, RULE_SAME_AGAIN);
+        set_forward(verdict, previous, RULE_RETRANSMISSION);
         return;
     }
     if (upstream == NULL) {
@@ -366,7 +365,7 @@
     }
     verdict->upstream = upstream;
     if (upstream->state == UPSTREAM_GONE) {
-        refuse_open(packet, verdict, RULE_UPSTREAM_GONE);
+        refuse_open(packet, verdict, RULE_UPSTREAM_ENDED);
         return;
     }
     steer_by_token(ev, now, packet, upstream, verdict);
--- a/explain.c
+++ b/explain.c
@@ -105,7 +105,7 @@
 static bool
 takes_owner(const char *rule)
 {
-    enum ring_rule r = ring_rule_from(rule);
+    enum ring_rule r = ring_rule_parse(rule);
 
     return r == RULE_SETTLED || r == RULE_KEEPER_NEW ||
            r == RULE_KEEPER_DEFAULT;
--- a/flow-steer.c
+++ b/flow-steer.c
@@ -324,7 +324,7 @@
 
     *out = (struct flow_verdict){0};
     if (packet->hops > FLOW_HOPS_MAX) {
-        drop(&s, RULE_TOO_FAR, COUNTER_PACKETS_TOO_FAR);
+        drop(&s, RULE_HOP_LIMIT, COUNTER_PACKETS_TOO_FAR);
         return;
     }
     if (now >= flow->lease_deadline + FLOW_STALE_MS) {
--- a/fragment.h
+++ b/fragment.h
@@ -1,11 +1,11 @@
 /**
  * @file fragment.h
- * Messages that no datagram holds, in parts. A lost part loses the message,
- * which is sent again by its own rule. Owns the parts that have arrived; does
- * no I/O.
+ * Fragmentation of messages that exceed a UDP datagram, and their reassembly.
+ * A message with a lost fragment is dropped; its sender retries. Owns the
+ * reassembly buffers; does no I/O.
  */
-#ifndef RIDGERIDGE_PART_H
-#define RIDGERIDGE_PART_H
+#ifndef RIDGERIDGE_FRAGMENT_H
+#define RIDGERIDGE_FRAGMENT_H
 
 #include <glib.h>
 #include <stdbool.h>
@@ -13,50 +13,50 @@
 
 #include "generated/wire.h"
 
-#define PART_DATAGRAM_MAX                                                     \
-    65507U /**< bytes of a datagram over IPv4 (RFC 768, RFC 791) */
-#define PART_MESSAGE_MAX                                                      \
-    65499U /**< bytes of a message that is sent whole: the checksum before    \
-                it has 8 */
-#define PART_COUNT_MAX                                                        \
-    24U /**< parts of one message: 1.1 MiB, more than the largest table */
-#define PART_OPEN_MAX                                                         \
-    8U /**< messages that are being put together; the oldest makes room */
-#define PART_WAIT_MS                                                          \
-    2000U /**< a message whose parts stay away so long is given up: whoever   \
-               lacks it was sent another one by then */
-
-/** A message of which parts have arrived. */
-struct part_open {
-    uint64_t message;                  /**< its number; 0: the place is free */
-    uint64_t until;                    /**< deadline: given up then */
-    uint32_t count;                    /**< of parts */
-    uint32_t arrived;                  /**< of those */
-    GByteArray *parts[PART_COUNT_MAX]; /**< by place; NULL: not arrived */
+#define FRAGMENT_DATAGRAM_MAX                                                 \
+    65507U /**< payload bytes of UDP over IPv4 (RFC 768, RFC 791) */
+#define FRAGMENT_UNSPLIT_MAX                                                  \
+    65499U /**< bytes of a message without fragmentation; a checksum of 8     \
+              bytes precedes it */
+#define FRAGMENT_COUNT_MAX                                                    \
+    24U /**< fragments of one message, 1.1 MiB: above the largest routing     \
+           table */
+#define FRAGMENT_BUFFERS_MAX                                                  \
+    8U /**< the oldest is evicted when all are in use */
+#define FRAGMENT_TIMEOUT_MS                                                   \
+    2000U /**< reassembly timeout, above the senders' retry intervals */
+
+/** Reassembly buffer of one message. */
+struct fragment_buffer {
+    uint64_t message;  /**< number of the message; 0: the buffer is free */
+    uint64_t deadline; /**< of the reassembly */
+    uint32_t count;    /**< of `fragments` */
+    uint32_t received; /**< fragments received */
+    GByteArray *fragments[FRAGMENT_COUNT_MAX]; /**< by index; NULL: missing */
 };
 
-/** The messages that are being put together. */
-struct part_box {
-    struct part_open open[PART_OPEN_MAX]; /**< in no order */
+struct fragment_table {
+    struct fragment_buffer buffers[FRAGMENT_BUFFERS_MAX]; /**< unordered */
 };
 
 /**
  * Splits an encoded message.
- * @param number drawn for this message
- * @return encoded messages, GByteArray, in order; NULL when it is too large.
- *         Free with g_ptr_array_unref().
+ * @param number unique number of the message, not 0
+ * @return encoded WIRE_PART messages, GByteArray, in order; NULL when it
+ *         exceeds FRAGMENT_COUNT_MAX. Free with g_ptr_array_unref().
  */
-GPtrArray *part_split(uint64_t number, const uint8_t *bytes, size_t length);
+GPtrArray *fragment_split(uint64_t number, const uint8_t *bytes,
+                          size_t length);
 
 /**
- * Takes a part.
- * @return the message once all of it has arrived, else NULL; free with
+ * Adds a received fragment.
+ * @return the message once it is complete, else NULL; free with
  *         g_byte_array_unref()
  */
-GByteArray *part_take(struct part_box *box, uint64_t now,
-                      const wire_part *part);
+GByteArray *fragment_receive(struct fragment_table *table, uint64_t now,
+                             const wire_part *fragment);
 
-/** Frees what has arrived. */
-void part_close(struct part_box *box);
+/** Frees all reassembly buffers. */
+void fragment_close(struct fragment_table *table);
 
 #endif
--- a/loop.c
+++ b/loop.c
@@ -1,19 +1,19 @@
-/* The event loop, on libev, and the queue that other threads post to. */
+/* Event loop on libev, and the queue of posted work. */
 #include "loop.h"
 
 #include <ev.h>
 #include <glib.h>
 #include <time.h>
 
-/* One posted piece of work. */
+/* Posted work. */
 struct job {
     loop_work work;
     void *data;
-    bool waits; /* somebody waits for `done` */
+    bool synchronous; /* owned by loop_call(), which waits for `done` */
     bool done;
 };
 
-/* A watcher with its work. */
+/* A watcher of a descriptor or a signal. */
 struct watch {
     ev_io io;
     ev_signal signal;
@@ -21,7 +21,6 @@
     void *data;
 };
 
-/* A timer with its work. */
 struct loop_timer {
     ev_timer timer;
     loop_work work;
@@ -34,11 +33,11 @@
     ev_timer timer;
     ev_check check;
     ev_prepare prepare;
-    uint64_t wake_at; /* time of the timer, UINT64_MAX: none */
-    uint64_t due_at;  /* the loop was to be running again by then */
-    uint64_t late_ms;
-    loop_work late;
-    void *late_data;
+    uint64_t wake_at; /* time of the tick, UINT64_MAX: none */
+    uint64_t due_at;  /* latest expected time of the next callback */
+    uint64_t stall_ms;
+    loop_work on_stall;
+    void *on_stall_data;
     loop_work tick;
     void *tick_data;
     GMutex lock;
@@ -46,7 +45,6 @@
     GQueue jobs;
 } loop_state;
 
-/* Milliseconds of a clock. */
 static uint64_t
 clock_ms(clockid_t clock)
 {
@@ -56,14 +54,12 @@
     return (uint64_t)now.tv_sec * 1000 + (uint64_t)now.tv_nsec / 1000000;
 }
 
-/* Monotonic milliseconds. Goes on while a process is frozen. */
 uint64_t
 loop_now(void)
 {
     return clock_ms(CLOCK_BOOTTIME);
 }
 
-/* Monotonic microseconds. */
 uint64_t
 loop_now_us(void)
 {
@@ -73,14 +69,13 @@
     return (uint64_t)now.tv_sec * 1000000 + (uint64_t)now.tv_nsec / 1000;
 }
 
-/* Wall clock. */
 uint64_t
 loop_wall(void)
 {
     return clock_ms(CLOCK_REALTIME);
 }
 
-/* Takes the next job, NULL when there is none. */
+/* NULL when the queue is empty. */
 static struct job *
 next_job(void)
 {
@@ -92,23 +87,22 @@
     return job;
 }
 
-/* The loop is running: calls the work for a late one first when it was to be
- * so earlier. Each handler begins with it, so a standstill in the midst of one
- * is noticed before the next takes what waited meanwhile. */
+/* Reports a stall. Each callback starts with it, so that a stall during one is
+ * noticed before the next handles events queued meanwhile. */
 static void
-note_running(void)
+check_stall(void)
 {
     uint64_t now = loop_now();
     uint64_t due_at = loop_state.due_at;
 
     loop_state.due_at = now;
-    if (loop_state.late != NULL && now > due_at &&
-        now - due_at > loop_state.late_ms) {
-        loop_state.late(loop_state.late_data);
+    if (loop_state.on_stall != NULL && now > due_at &&
+        now - due_at > loop_state.stall_ms) {
+        loop_state.on_stall(loop_state.on_stall_data);
     }
 }
 
-/* Does all posted work. */
+/* Runs all posted work. */
 static void
 on_wake(struct ev_loop *loop, ev_async *watcher, int events)
 {
@@ -118,9 +112,9 @@
     (void)watcher;
     (void)events;
     while ((job = next_job()) != NULL) {
-        note_running();
+        check_stall();
         job->work(job->data);
-        if (!job->waits) {
+        if (!job->synchronous) {
             g_free(job);
             continue;
         }
@@ -131,19 +125,17 @@
     }
 }
 
-/* Calls the tick. */
 static void
 on_timer(struct ev_loop *loop, ev_timer *watcher, int events)
 {
     (void)loop;
     (void)watcher;
     (void)events;
-    note_running();
+    check_stall();
     loop_state.wake_at = UINT64_MAX;
     loop_state.tick(loop_state.tick_data);
 }
 
-/* Starts the tables without a timer. */
 void
 loop_open_idle(loop_work tick, void *data)
 {
@@ -157,36 +149,34 @@
     ev_init(&loop_state.timer, on_timer);
 }
 
-/* The loop woke up; nothing was called yet. */
+/* Runs after the loop polled, before other callbacks. */
 static void
 on_check(struct ev_loop *loop, ev_check *watcher, int events)
 {
     (void)loop;
     (void)watcher;
     (void)events;
-    note_running();
+    check_stall();
 }
 
-/* The loop is about to wait, until its timer at the latest. */
+/* Runs before the loop polls, which ends at `wake_at` at the latest. */
 static void
 on_prepare(struct ev_loop *loop, ev_prepare *watcher, int events)
 {
     (void)loop;
     (void)watcher;
     (void)events;
-    note_running();
-    /* A deadline that was past already when it was set says nothing of how
-     * long this process stood still. */
+    check_stall();
+    /* A time that was already past when set is no sign of a stall. */
     loop_state.due_at = MAX(loop_state.due_at, loop_state.wake_at);
 }
 
-/* Calls work when the loop was not running for long. */
 void
-loop_on_late(loop_work work, void *data, uint64_t late_ms)
+loop_on_stall(loop_work work, void *data, uint64_t stall_ms)
 {
-    loop_state.late = work;
-    loop_state.late_data = data;
-    loop_state.late_ms = late_ms;
+    loop_state.on_stall = work;
+    loop_state.on_stall_data = data;
+    loop_state.stall_ms = stall_ms;
     loop_state.due_at = loop_now();
     ev_check_init(&loop_state.check, on_check);
     ev_set_priority(&loop_state.check, EV_MAXPRI);
@@ -196,7 +186,6 @@
     ev_prepare_start(loop_state.loop, &loop_state.prepare);
 }
 
-/* Sets the timer to one time. */
 void
 loop_wake_at(uint64_t at)
 {
@@ -210,19 +199,17 @@
     ev_timer_start(loop_state.loop, &loop_state.timer);
 }
 
-/* A timer is over. */
 static void
-on_own_timer(struct ev_loop *loop, ev_timer *watcher, int events)
+on_loop_timer(struct ev_loop *loop, ev_timer *watcher, int events)
 {
     struct loop_timer *timer = watcher->data;
 
     (void)loop;
     (void)events;
-    note_running();
+    check_stall();
     timer->work(timer->data);
 }
 
-/* Makes a timer. */
 struct loop_timer *
 loop_timer_new(loop_work work, void *data)
 {
@@ -230,12 +217,11 @@
 
     timer->work = work;
     timer->data = data;
-    ev_init(&timer->timer, on_own_timer);
+    ev_init(&timer->timer, on_loop_timer);
     timer->timer.data = timer;
     return timer;
 }
 
-/* Sets a timer. */
 void
 loop_timer_set(struct loop_timer *timer, uint64_t at_us)
 {
@@ -248,7 +234,6 @@
     ev_timer_start(loop_state.loop, &timer->timer);
 }
 
-/* Starts the tables. */
 void
 loop_open(loop_work tick, void *data, uint64_t tick_ms)
 {
@@ -257,7 +242,6 @@
     ev_timer_start(loop_state.loop, &loop_state.timer);
 }
 
-/* Queues a job. */
 static void
 push_job(struct job *job)
 {
@@ -267,7 +251,6 @@
     ev_async_send(loop_state.loop, &loop_state.wake);
 }
 
-/* Posts work. */
 void
 loop_post(loop_work work, void *data)
 {
@@ -278,11 +261,10 @@
     push_job(job);
 }
 
-/* Posts work and waits for it. */
 void
 loop_call(loop_work work, void *data)
 {
-    struct job job = {.work = work, .data = data, .waits = true};
+    struct job job = {.work = work, .data = data, .synchronous = true};
 
     push_job(&job);
     g_mutex_lock(&loop_state.lock);
@@ -292,7 +274,6 @@
     g_mutex_unlock(&loop_state.lock);
 }
 
-/* A descriptor can be read. */
 static void
 on_readable(struct ev_loop *loop, ev_io *watcher, int events)
 {
@@ -300,11 +281,10 @@
 
     (void)loop;
     (void)events;
-    note_running();
+    check_stall();
     watch->work(watch->data);
 }
 
-/* Watches a descriptor. */
 void
 loop_watch(int fd, loop_work work, void *data)
 {
@@ -317,7 +297,6 @@
     ev_io_start(loop_state.loop, &watch->io);
 }
 
-/* A signal came. */
 static void
 on_signal(struct ev_loop *loop, ev_signal *watcher, int events)
 {
@@ -325,11 +304,10 @@
 
     (void)loop;
     (void)events;
-    note_running();
+    check_stall();
     watch->work(watch->data);
 }
 
-/* Watches a signal. */
 void
 loop_signal(int number, loop_work work, void *data)
 {
@@ -342,14 +320,12 @@
     ev_signal_start(loop_state.loop, &watch->signal);
 }
 
-/* Runs the loop. */
 void
 loop_run(void)
 {
     ev_run(loop_state.loop, 0);
 }
 
-/* Ends the loop. */
 void
 loop_stop(void)
 {
--- a/member.c
+++ b/member.c
@@ -1,4 +1,4 @@
-/* Members of an epoch and their rendezvous ranks. */
+/* Members of an epoch, and rendezvous hashing over them. */
 #include "member.h"
 
 #include <glib.h>
@@ -6,7 +6,6 @@
 
 #include "hash.h"
 
-/* Orders members by id. */
 static int
 compare_members(const void *a, const void *b)
 {
@@ -16,7 +15,6 @@
     return (left->id > right->id) - (left->id < right->id);
 }
 
-/* Replaces the members of a set. */
 void
 member_set_assign(struct member_set *set, uint64_t epoch,
                   const struct member *items, size_t count)
@@ -33,7 +31,6 @@
     set->epoch = epoch;
 }
 
-/* Frees the members. */
 void
 member_set_clear(struct member_set *set)
 {
@@ -41,7 +38,6 @@
     memset(set, 0, sizeof(*set));
 }
 
-/* Finds a member by binary search. */
 const struct member *
 member_find(const struct member_set *set, uint64_t id)
 {
@@ -53,7 +49,6 @@
     return bsearch(&key, set->items, set->count, sizeof(key), compare_members);
 }
 
-/* Says whether a member's hall is free of the keepers chosen so far. */
 static bool
 hall_is_new(const struct member *candidate, const struct member *const *chosen,
             size_t count)
@@ -66,7 +61,6 @@
     return true;
 }
 
-/* Says whether a member was chosen before. */
 static bool
 is_chosen(const struct member *candidate, const struct member *const *chosen,
           size_t count)
@@ -79,7 +73,8 @@
     return false;
 }
 
-/* Finds the best rank among members not chosen yet. */
+/* Finds the member with the highest rank that is not chosen yet, in a hall
+ * without a chosen member if `new_hall`. */
 static const struct member *
 best_rank(const struct member_set *set, uint64_t key,
           const struct member *const *chosen, size_t count, bool new_hall)
@@ -102,7 +97,6 @@
     return best;
 }
 
-/* Ranks the keepers, each in a hall of its own while there is one. */
 size_t
 member_keepers(const struct member_set *set, uint64_t key, size_t want,
                const struct member *out[MEMBER_KEEPERS])
@@ -120,7 +114,6 @@
     return count;
 }
 
-/* Picks the best-ranked member other than self. */
 const struct member *
 member_other(const struct member_set *set, uint64_t key, uint64_t self)
 {
--- a/member.h
+++ b/member.h
@@ -1,8 +1,8 @@
 /**
  * @file member.h
- * The live entries of one epoch, and who keeps what: rendezvous hashing over
- * the members (Thaler and Ravishankar, 1998), in distinct data halls while
- * there are any left.
+ * Live entries of one membership epoch, and the choice of the keepers that
+ * hold copies of a record: rendezvous hashing (Thaler and Ravishankar, 1998),
+ * each keeper in another data hall while there is one.
  */
 #ifndef RIDGERIDGE_MEMBER_H
 #define RIDGERIDGE_MEMBER_H
@@ -13,43 +13,42 @@
 
 #define MEMBER_KEEPERS 3 /**< copies of a record */
 
-/** One live entry. */
+/** A live entry. */
 struct member {
-    uint64_t id;      /**< of this start of the entry */
+    uint64_t id;      /**< of this start of the process */
     uint64_t hall;    /**< hash of its data hall's name */
     uint32_t address; /**< IPv4, host order */
-    uint16_t peer;    /**< UDP port, messages */
-    uint16_t fabric;  /**< UDP port, packets */
-    uint16_t http;    /**< TCP port, callers */
-    char name[64];    /**< VM's name, for answers */
+    uint16_t peer;    /**< UDP port for messages between entries */
+    uint16_t fabric;  /**< UDP port for encapsulated packets */
+    uint16_t http;    /**< TCP port for requests of callers */
+    char name[64];    /**< of its VM */
 };
 
-/** The members of one epoch, sorted by id. */
+/** Members of one epoch. */
 struct member_set {
-    uint64_t epoch;       /**< 0: none yet */
+    uint64_t epoch;       /**< 0: no membership received yet */
     struct member *items; /**< sorted by id */
-    size_t count;         /**< of items */
+    size_t count;
 };
 
-/** Copies, sorts and stores members. Frees what was there. */
+/** Replaces the members by a sorted copy of `items`. */
 void member_set_assign(struct member_set *set, uint64_t epoch,
                        const struct member *items, size_t count);
 
-/** Frees the members. */
 void member_set_clear(struct member_set *set);
 
-/** Finds a member by id; NULL when it is not in the epoch. */
+/** NULL when the epoch has no such member. */
 const struct member *member_find(const struct member_set *set, uint64_t id);
 
 /**
- * Ranks the keepers of a key.
+ * Finds the keepers of a key, highest rank first.
  * @param want at most MEMBER_KEEPERS
- * @return how many were found, fewer only when there are fewer members
+ * @return how many were found; fewer than `want` only with fewer members
  */
 size_t member_keepers(const struct member_set *set, uint64_t key, size_t want,
                       const struct member *out[MEMBER_KEEPERS]);
 
-/** The first member for a key that is not `self`; NULL when alone. */
+/** Member with the highest rank for a key, other than `self`; NULL: none. */
 const struct member *member_other(const struct member_set *set, uint64_t key,
                                   uint64_t self);
 
--- a/node-http.c
+++ b/node-http.c
@@ -94,9 +94,9 @@
         return node_http_answer(call, MHD_HTTP_OK, "application/json", "{}",
                                 2);
     }
-    length = platform_write_registered(node->settings.control.address,
-                                       node->settings.control.port, body,
-                                       sizeof(body));
+    length = platform_write_registration_reply(node->settings.control.address,
+                                               node->settings.control.port,
+                                               body, sizeof(body));
     return node_http_answer(call, MHD_HTTP_OK, "application/json", body,
                             length);
 }
@@ -111,8 +111,9 @@
     uint64_t id;
 
     if (platform_read_id(text, &id, &st) != STATUS_OK ||
-        platform_read_end((const char *)call->body->data, call->body->len,
-                          &born, &st) != STATUS_OK) {
+        platform_read_deregistration((const char *)call->body->data,
+                                     call->body->len, &born,
+                                     &st) != STATUS_OK) {
         counter_add(&node->counters, COUNTER_REGISTRATIONS_REFUSED, 1);
         log_event(LOG_WARN, "end-refused", "reason=\"%s\"", st.message);
         return node_http_refuse(call, MHD_HTTP_BAD_REQUEST, st.message);
@@ -214,9 +215,9 @@
         return node_operator_submit(call, path);
     case PLATFORM_READ:
         return node_operator_read(call, path);
-    case PLATFORM_EMPTY_HALL:
+    case PLATFORM_DRAIN_HALL:
         return node_operator_order(call, path, rest, true);
-    case PLATFORM_TAKE_HALL:
+    case PLATFORM_UNDRAIN_HALL:
         return node_operator_order(call, path, rest, false);
     case PLATFORM_UNKNOWN:
         break;
--- a/node-packets.c
+++ b/node-packets.c
@@ -17,7 +17,7 @@
 
 #define BATCH 64         /* packets taken by one call of the kernel */
 #define BATCHES_A_TURN 4 /* then other events have their turn */
-#define PACKET_MAX (PLATFORM_HEAD_BYTES + PLATFORM_DATA_MAX)
+#define PACKET_MAX (PLATFORM_HEADER_BYTES + PLATFORM_DATA_MAX)
 #define SOCKET_BUFFER (1024 * 1024) /* for a burst while it stands still */
 #define HELD_MAX 256 /* packets of half a second on the smallest VMs */
 #define HOLD_MS 500U /* callers send again after 200 and 600 ms */
@@ -274,7 +274,7 @@
                                .flow = flow,
                                .address = packet->source,
                                .port = node->settings.packets.port};
-    uint8_t reset[PLATFORM_HEAD_BYTES];
+    uint8_t reset[PLATFORM_HEADER_BYTES];
 
     counter_add(&node->counters, COUNTER_FLOWS_REFUSED, 1);
     platform_write_reset(packet, reset);
@@ -305,7 +305,7 @@
     }
     switch (verdict.action) {
     case EVIDENCE_FORWARD:
-        platform_mark_packet(head, verdict.upstream->token);
+        platform_write_token(head, verdict.upstream->token);
         if (verdict.via_relay &&
             node_carry(node, now, &verdict, head, length)) {
             break;
@@ -448,6 +448,6 @@
                   size, g_strerror(errno));
     }
     loop_watch(node->packets_fd, on_packets, node);
-    loop_on_late(on_late, node, STALE_MS);
+    loop_on_stall(on_late, node, STALE_MS);
     return STATUS_OK;
 }
--- a/node-peers.c
+++ b/node-peers.c
@@ -93,7 +93,7 @@
     uint64_t number;
 
     randombytes_buf(&number, sizeof(number));
-    parts = part_split(number, bytes, length);
+    parts = fragment_split(number, bytes, length);
     if (parts == NULL) {
         counter_add(&node->counters, COUNTER_MSGS_TOO_LARGE, 1);
         log_event(LOG_ERROR, "message-too-large", "to=%08x kind=%u bytes=%zu",
@@ -116,7 +116,7 @@
     uint32_t kind = codec_kind(bytes, length);
 
     count_bytes(node, kind, length);
-    if (length > PART_MESSAGE_MAX) {
+    if (length > FRAGMENT_UNSPLIT_MAX) {
         send_parts(node, to, bytes, length);
     }
     else {
@@ -132,7 +132,7 @@
 static void
 take_part(struct node *node, const wire_part *part)
 {
-    GByteArray *whole = part_take(&node->parts, loop_now(), part);
+    GByteArray *whole = fragment_receive(&node->parts, loop_now(), part);
 
     if (whole == NULL) {
         return;
@@ -211,7 +211,7 @@
 static void
 on_datagrams(void *data)
 {
-    static guint8 bytes[PART_DATAGRAM_MAX];
+    static guint8 bytes[FRAGMENT_DATAGRAM_MAX];
     struct node *node = data;
 
     for (int i = 0; i < DATAGRAMS_A_TURN; i++) {
--- a/node-status.c
+++ b/node-status.c
@@ -159,7 +159,7 @@
     json_object *list = json_object_new_array();
 
     page_add_hex(doc, "flow", flow);
-    page_add_number(doc, "kept_since", ring_since(&node->ring));
+    page_add_number(doc, "kept_since", ring_overwritten_before(&node->ring));
     for (size_t i = 0; i < count; i++) {
         json_object_array_add(list, decision_page(node, &found[i]));
     }
--- a/node-voter-thread.c
+++ b/node-voter-thread.c
@@ -25,7 +25,7 @@
     struct node *node;
     GAsyncQueue *jobs;
     bool open; /* order and store are in use */
-    struct order order;
+    struct replica replica;
     struct store store;
     uint64_t reopen_at;    /* deadline: open the folder again */
     uint64_t told_term;    /* of the last leader told */
@@ -48,7 +48,7 @@
 static void
 copy_table(struct voter_news *news)
 {
-    const struct order *order = &voter.order;
+    const struct replica *order = &voter.replica;
     gsize length = 0;
     const void *bytes;
     wire_command command;
@@ -79,7 +79,7 @@
 static bool
 act_cons(struct cons_action *action)
 {
-    const struct cons *cons = &voter.order.cons;
+    const struct cons *cons = &voter.replica.cons;
     struct status st = {STATUS_OK, ""};
     uint64_t before = loop_now_us();
     uint64_t took_us;
@@ -133,7 +133,7 @@
 static void
 refuse_waiting(size_t from)
 {
-    GArray *tokens = order_unanswered(&voter.order, from);
+    GArray *tokens = replica_unanswered_tokens(&voter.replica, from);
 
     for (guint i = 0; i < tokens->len; i++) {
         refuse(g_array_index(tokens, uint64_t, i));
@@ -145,7 +145,7 @@
 static void
 close_folder(void)
 {
-    order_close(&voter.order);
+    replica_close(&voter.replica);
     store_close(&voter.store);
     voter.open = false;
     voter.reopen_at = loop_now() + REOPEN_MS;
@@ -170,7 +170,7 @@
 static void
 tell_leader(void)
 {
-    const struct cons *cons = &voter.order.cons;
+    const struct cons *cons = &voter.replica.cons;
     struct voter_news *news;
 
     /* A new leader answers only when it knows all that was committed. */
@@ -195,13 +195,13 @@
 static void
 log_voters(void)
 {
-    const wire_config *config = cons_config(&voter.order.cons);
+    const wire_config *config = cons_config(&voter.replica.cons);
     GString *text;
 
-    if (voter.order.cons.change_index == voter.logged_index) {
+    if (voter.replica.cons.change_index == voter.logged_index) {
         return;
     }
-    voter.logged_index = voter.order.cons.change_index;
+    voter.logged_index = voter.replica.cons.change_index;
     text = g_string_new(NULL);
     for (u_int i = 0; i < config->voters.voters_len; i++) {
         const wire_voter *v = &config->voters.voters_val[i];
@@ -220,21 +220,21 @@
 act_all(void)
 {
     size_t count;
-    const struct order_action *all = order_actions(&voter.order, &count);
+    const struct replica_action *all = replica_actions(&voter.replica, &count);
 
     for (size_t i = 0; i < count; i++) {
-        struct order_action action = all[i];
+        struct replica_action action = all[i];
         struct voter_news *news;
 
         switch (action.kind) {
-        case ORDER_CONS:
+        case REPLICA_CONS:
             if (!act_cons(&action.cons)) {
                 refuse_waiting(i);
                 close_folder();
                 return;
             }
             break;
-        case ORDER_REPLY:
+        case REPLICA_REPLY:
             news = new_news();
             news->has_answer = true;
             news->token = action.token;
@@ -245,16 +245,16 @@
             }
             loop_post(voter_on_news, news);
             break;
-        case ORDER_APPLY:
+        case REPLICA_APPLY:
             news = new_news();
             news->apply = true;
-            news->halls = voter.order.halls;
+            news->halls = voter.replica.halls;
             copy_table(news);
             loop_post(voter_on_news, news);
             break;
         }
     }
-    order_clear(&voter.order);
+    replica_clear(&voter.replica);
     tell_leader();
     log_voters();
 }
@@ -313,7 +313,7 @@
 static void
 tell_opened(void)
 {
-    const wire_config *config = cons_config(&voter.order.cons);
+    const wire_config *config = cons_config(&voter.replica.cons);
     struct voter_news *news = new_news();
 
     news->opened = true;
@@ -362,15 +362,15 @@
         return;
     }
     randombytes_buf(&seed, sizeof(seed));
-    order_open(&voter.order, loop_now(), self, voter.store.identity,
-               voter.store.identity == self, seed, &stored,
-               &voter.node->counters);
+    replica_open(&voter.replica, loop_now(), self, voter.store.identity,
+                 voter.store.identity == self, seed, &stored,
+                 &voter.node->counters);
     voter.open = true;
     log_event(LOG_INFO, "storage-opened",
               "identity=%016" PRIx64 " last_index=%" PRIu64 " version=%" PRIu64
               " torn_bytes=%" PRIu64,
-              voter.store.identity, cons_last_index(&voter.order.cons),
-              voter.order.version, voter.store.cut_bytes);
+              voter.store.identity, cons_last_index(&voter.replica.cons),
+              voter.replica.version, voter.store.cut_bytes);
     tell_opened();
     act_all();
 }
@@ -382,8 +382,8 @@
     struct status st = {STATUS_OK, ""};
     uint32_t self = node_settings_address(&voter.node->settings);
 
-    if (!voter.open || cons_last_index(&voter.order.cons) > 0 ||
-        voter.order.cons.leader != 0) {
+    if (!voter.open || cons_last_index(&voter.replica.cons) > 0 ||
+        voter.replica.cons.leader != 0) {
         return;
     }
     if (store_found(&voter.store, self, &st) != STATUS_OK) {
@@ -406,7 +406,7 @@
         log_event(LOG_WARN, "message-unreadable", "bytes=%u", bytes->len);
         return;
     }
-    order_receive(&voter.order, loop_now(), &msg);
+    replica_receive(&voter.replica, loop_now(), &msg);
     codec_free(&msg);
 }
 
@@ -414,17 +414,17 @@
 static void
 take_call(struct voter_job *job, uint64_t now)
 {
-    if (!voter.open || now > job->queued_at + ORDER_ANSWER_MS) {
+    if (!voter.open || now > job->queued_at + REPLICA_REQUEST_TIMEOUT_MS) {
         refuse(job->token);
     }
     else if (job->kind == VOTER_JOB_READ) {
-        order_read(&voter.order, now, job->token);
+        replica_read(&voter.replica, now, job->token);
     }
     else if (job->kind == VOTER_JOB_HALL) {
-        order_submit_hall(&voter.order, now, job->token, &job->hall);
+        replica_submit_hall(&voter.replica, now, job->token, &job->hall);
     }
     else {
-        order_submit(&voter.order, now, job->token, &job->routes);
+        replica_submit(&voter.replica, now, job->token, &job->routes);
     }
 }
 
@@ -442,8 +442,8 @@
         break;
     case VOTER_JOB_DISK:
         if (voter.open) {
-            order_hear(&voter.order, now, job->disk.address,
-                       job->disk.identity);
+            replica_update_disk(&voter.replica, now, job->disk.address,
+                                job->disk.identity);
         }
         break;
     case VOTER_JOB_FOUND:
@@ -461,7 +461,7 @@
         break;
     case VOTER_JOB_RESIGN:
         if (voter.open) {
-            order_resign(&voter.order, now);
+            replica_step_down(&voter.replica, now);
         }
         break;
     case VOTER_JOB_STOP:
@@ -475,7 +475,8 @@
 wait_us(void)
 {
     uint64_t now = loop_now();
-    uint64_t at = voter.open ? order_deadline(&voter.order) : voter.reopen_at;
+    uint64_t at =
+        voter.open ? replica_deadline(&voter.replica) : voter.reopen_at;
 
     at = MIN(at, now + IDLE_MS);
     return at > now ? (at - now) * 1000 : 0;
@@ -504,7 +505,7 @@
             open_folder();
         }
         if (voter.open) {
-            order_tick(&voter.order, loop_now());
+            replica_tick(&voter.replica, loop_now());
             act_all();
         }
     }
--- a/node.h
+++ b/node.h
@@ -54,7 +54,7 @@
                                           link was charged with */
     int packets_fd;                  /**< UDP: callers and upstreams */
     int peers_fd;                    /**< UDP: other nodes */
-    struct part_box parts;           /**< messages of other nodes in parts */
+    struct fragment_table parts;     /**< messages of other nodes in parts */
     uint64_t http_at;                /**< deadline: open HTTP, 0: it is open */
     struct MHD_Daemon *http[NODE_PORTS]; /**< by enum node_port */
     struct status failure;               /**< why the node ends by itself */
--- a/packet.c
+++ b/packet.c
@@ -1,4 +1,4 @@
-/* Geneve, IPv4, TCP and UDP headers. No state. */
+/* Geneve, IPv4, TCP and UDP headers. */
 #include "packet.h"
 
 #include <assert.h>
@@ -9,7 +9,7 @@
 #define GENEVE_IPV4 0x0800U
 #define OPTION_CLASS 0xff52U /* experimental range of RFC 8926, 4.3 */
 #define OPTION_TYPE 0x01U
-#define OPTION_WORDS 5U /* of data, 4 bytes each */
+#define OPTION_WORDS 5U /* 4-byte words of data */
 #define IP_HEADER 20U
 #define TCP_HEADER 20U
 #define UDP_HEADER 8U
@@ -21,21 +21,18 @@
 #define TCP_RST 0x04U
 #define TCP_ACK 0x10U
 
-/* Reads 16 bits. */
 static uint16_t
 get16(const uint8_t *at)
 {
     return (uint16_t)((at[0] << 8) | at[1]);
 }
 
-/* Reads 32 bits. */
 static uint32_t
 get32(const uint8_t *at)
 {
     return ((uint32_t)get16(at) << 16) | get16(at + 2);
 }
 
-/* Writes 16 bits. */
 static void
 put16(uint8_t *at, uint16_t value)
 {
@@ -43,7 +40,6 @@
     at[1] = (uint8_t)value;
 }
 
-/* Writes 32 bits. */
 static void
 put32(uint8_t *at, uint32_t value)
 {
@@ -51,7 +47,7 @@
     put16(at + 2, (uint16_t)value);
 }
 
-/* Reads our option out of the options of the header. */
+/* Finds the forwarding option; skips others. */
 static void
 parse_options(const uint8_t *at, size_t length, struct packet *out)
 {
@@ -64,11 +60,12 @@
         if (get16(at) == OPTION_CLASS && at[2] == OPTION_TYPE &&
             (at[3] & 0x1f) == OPTION_WORDS) {
             out->handed = true;
-            out->hand.origin = ((uint64_t)get32(at + 4) << 32) | get32(at + 8);
-            out->hand.position = at[12];
-            out->hand.hops = at[13];
-            for (size_t i = 0; i < PACKET_ASKED; i++) {
-                out->hand.asked[i] = get16(at + 14 + 2 * i);
+            out->forwarding.origin =
+                ((uint64_t)get32(at + 4) << 32) | get32(at + 8);
+            out->forwarding.position = at[12];
+            out->forwarding.hops = at[13];
+            for (size_t i = 0; i < PACKET_ASKED_MAX; i++) {
+                out->forwarding.asked[i] = get16(at + 14 + 2 * i);
             }
         }
         at += size;
@@ -76,7 +73,6 @@
     }
 }
 
-/* Reads the transport header. */
 static bool
 parse_transport(struct packet *out, size_t length)
 {
@@ -98,7 +94,7 @@
     return true;
 }
 
-/* Reads the inner IPv4 packet. Fragments have no ports and are refused. */
+/* Rejects IP fragments: only the first has ports. */
 static bool
 parse_ip(uint8_t *ip, size_t length, struct packet *out)
 {
@@ -123,27 +119,25 @@
     return parse_transport(out, total - header);
 }
 
-/* Parses an encapsulated packet. */
 bool
 packet_parse(uint8_t *bytes, size_t length, struct packet *out)
 {
     size_t options;
 
     memset(out, 0, sizeof(*out));
-    if (length < PACKET_GENEVE || bytes[0] >> 6 != 0 ||
+    if (length < PACKET_GENEVE_BYTES || bytes[0] >> 6 != 0 ||
         get16(bytes + 2) != GENEVE_IPV4) {
         return false;
     }
     options = 4 * (size_t)(bytes[0] & 0x3f);
-    if (length < PACKET_GENEVE + options) {
+    if (length < PACKET_GENEVE_BYTES + options) {
         return false;
     }
-    parse_options(bytes + PACKET_GENEVE, options, out);
-    return parse_ip(bytes + PACKET_GENEVE + options,
-                    length - PACKET_GENEVE - options, out);
+    parse_options(bytes + PACKET_GENEVE_BYTES, options, out);
+    return parse_ip(bytes + PACKET_GENEVE_BYTES + options,
+                    length - PACKET_GENEVE_BYTES - options, out);
 }
 
-/* Hashes the addresses, ports and protocol. */
 uint64_t
 packet_hash(const struct packet *packet)
 {
@@ -172,7 +166,7 @@
     put16(at, (uint16_t)~sum);
 }
 
-/* Where the transport checksum stands; NULL when UDP has none. */
+/* NULL when UDP has no checksum. */
 static uint8_t *
 transport_checksum(const struct packet *packet)
 {
@@ -186,7 +180,6 @@
     return at;
 }
 
-/* Rewrites an address and a port, and both checksums. */
 static void
 rewrite(struct packet *packet, uint8_t *address_at, uint8_t *port_at,
         uint32_t address, uint16_t port)
@@ -216,7 +209,6 @@
     put16(port_at, port);
 }
 
-/* Rewrites the destination. */
 void
 packet_set_destination(struct packet *packet, uint32_t address, uint16_t port)
 {
@@ -225,7 +217,6 @@
     packet->destination_port = port;
 }
 
-/* Rewrites the source. */
 void
 packet_set_source(struct packet *packet, uint32_t address, uint16_t port)
 {
@@ -234,36 +225,34 @@
     packet->source_port = port;
 }
 
-/* Writes the encapsulation. */
 uint8_t *
-packet_wrap(struct packet *packet, const struct packet_handed *hand,
-            size_t *length)
+packet_encapsulate(struct packet *packet,
+                   const struct packet_forwarding *forwarding, size_t *length)
 {
-    size_t options = hand != NULL ? PACKET_HANDED : 0;
-    uint8_t *at = packet->ip - options - PACKET_GENEVE;
+    size_t options = forwarding != NULL ? PACKET_FORWARDING_BYTES : 0;
+    uint8_t *at = packet->ip - options - PACKET_GENEVE_BYTES;
 
-    memset(at, 0, PACKET_GENEVE + options);
+    memset(at, 0, PACKET_GENEVE_BYTES + options);
     at[0] = (uint8_t)(options / 4);
     put16(at + 2, GENEVE_IPV4);
-    if (hand != NULL) {
-        uint8_t *option = at + PACKET_GENEVE;
+    if (forwarding != NULL) {
+        uint8_t *option = at + PACKET_GENEVE_BYTES;
 
         put16(option, OPTION_CLASS);
         option[2] = OPTION_TYPE;
         option[3] = OPTION_WORDS;
-        put32(option + 4, (uint32_t)(hand->origin >> 32));
-        put32(option + 8, (uint32_t)hand->origin);
-        option[12] = hand->position;
-        option[13] = hand->hops;
-        for (size_t i = 0; i < PACKET_ASKED; i++) {
-            put16(option + 14 + 2 * i, hand->asked[i]);
+        put32(option + 4, (uint32_t)(forwarding->origin >> 32));
+        put32(option + 8, (uint32_t)forwarding->origin);
+        option[12] = forwarding->position;
+        option[13] = forwarding->hops;
+        for (size_t i = 0; i < PACKET_ASKED_MAX; i++) {
+            put16(option + 14 + 2 * i, forwarding->asked[i]);
         }
     }
-    *length = PACKET_GENEVE + options + packet->length;
+    *length = PACKET_GENEVE_BYTES + options + packet->length;
     return at;
 }
 
-/* Sums 16-bit words. */
 static uint32_t
 sum_words(const uint8_t *at, size_t length, uint32_t sum)
 {
@@ -276,7 +265,6 @@
     return sum;
 }
 
-/* Folds a sum to 16 bits. */
 static uint16_t
 fold(uint32_t sum)
 {
@@ -286,7 +274,7 @@
     return (uint16_t)sum;
 }
 
-/* Sum over the pseudo header and the transport segment. */
+/* Sum over the pseudo-header and the segment. */
 static uint16_t
 transport_sum(const uint8_t *ip, size_t length)
 {
@@ -298,7 +286,6 @@
     return fold(sum_words(ip + header, length - header, sum));
 }
 
-/* Fills both checksums. */
 void
 packet_fill_checksums(uint8_t *ip, size_t length)
 {
@@ -312,9 +299,8 @@
     put16(at, (uint16_t)~transport_sum(ip, length));
 }
 
-/* Checks both checksums. */
 bool
-packet_check(const uint8_t *ip, size_t length)
+packet_checksums_valid(const uint8_t *ip, size_t length)
 {
     size_t header = 4 * (size_t)(ip[0] & 0x0f);
 
--- a/problem.c
+++ b/problem.c
@@ -1,4 +1,4 @@
-/* Problem documents. */
+/* Error responses as problem documents. */
 #include "problem.h"
 
 #include <json-c/json.h>
@@ -9,7 +9,6 @@
 
 #define TYPE_PREFIX "urn:ridgeridge:problem:"
 
-/* Fills a response with a problem. */
 void
 problem_fill(struct _u_response *response, unsigned status, const char *type,
              const char *detail, const char *outcome, uint32_t retry_ms)
@@ -43,7 +42,6 @@
     json_object_put(doc);
 }
 
-/* Fills a response from a status. */
 void
 problem_from_status(struct _u_response *response, const struct status *st)
 {
--- a/problem.h
+++ b/problem.h
@@ -1,7 +1,8 @@
 /**
  * @file problem.h
- * Refusals over HTTP: application/problem+json (RFC 9457) with a typed kind,
- * an `outcome` and, where it helps, Retry-After (RFC 9110, 10.2.3).
+ * HTTP error responses as application/problem+json (RFC 9457) with the members
+ * `type`, `outcome` and `retry_after_ms`, and the field Retry-After (RFC 9110,
+ * 10.2.3).
  */
 #ifndef RIDGERIDGE_PROBLEM_H
 #define RIDGERIDGE_PROBLEM_H
@@ -11,12 +12,18 @@
 
 #include "status.h"
 
-/** Fills a response with a problem. `outcome` may be NULL. */
+/**
+ * Fills an error response.
+ * @param status HTTP status code
+ * @param type last part of the type URN, also the title
+ * @param outcome NULL: left out
+ * @param retry_ms 0: no Retry-After
+ */
 void problem_fill(struct _u_response *response, unsigned status,
                   const char *type, const char *detail, const char *outcome,
                   uint32_t retry_ms);
 
-/** Fills a response from a status. */
+/** Fills an error response from a status; its kind selects the HTTP code. */
 void problem_from_status(struct _u_response *response,
                          const struct status *st);
 
--- a/replica-internal.h
+++ b/replica-internal.h
@@ -1,16 +1,16 @@
 /**
  * @file replica-internal.h
- * What the order*.c files share. Nothing else includes it.
+ * Functions shared by replica*.c only.
  */
-#ifndef RIDGERIDGE_ORDER_INTERNAL_H
-#define RIDGERIDGE_ORDER_INTERNAL_H
+#ifndef RIDGERIDGE_REPLICA_INTERNAL_H
+#define RIDGERIDGE_REPLICA_INTERNAL_H
 
 #include "replica.h"
 
 /* replica-voters.c */
-/** LEADER: forgets disks that report nothing, and talks to the others. */
-void order_meet_disks(struct order *order, uint64_t now);
-/** LEADER: proposes a better list of voters, one change at a time. */
-void order_mend_voters(struct order *order, uint64_t now);
+/** LEADER: replicates to disks that report, and removes those that do not. */
+void replica_update_peers(struct replica *replica, uint64_t now);
+/** LEADER: proposes the next change of the set of voters, if one is due. */
+void replica_update_voters(struct replica *replica, uint64_t now);
 
 #endif
--- a/replica-voters.c
+++ b/replica-voters.c
@@ -1,173 +1,168 @@
 /*
- * Who votes: which disks there are, which of them hold the log, and the
- * changes of the list of voters that the leader proposes, one at a time.
+ * Membership: learners and the set of voters. The leader proposes one change
+ * of the set at a time.
  */
 #include "replica-internal.h"
 
 #include <string.h>
 
-/* Notes that a node with a disk is alive. */
 void
-order_hear(struct order *order, uint64_t now, uint32_t replica,
-           uint64_t identity)
+replica_update_disk(struct replica *replica, uint64_t now, uint32_t address,
+                    uint64_t identity)
 {
-    struct order_disk disk = {
-        .replica = replica, .identity = identity, .heard_at = now};
+    struct replica_disk disk = {
+        .address = address, .identity = identity, .last_seen_at = now};
 
-    for (size_t i = 0; i < order->disk_count; i++) {
-        if (order->disks[i].replica == replica) {
-            order->disks[i] = disk;
+    for (size_t i = 0; i < replica->disk_count; i++) {
+        if (replica->disks[i].address == address) {
+            replica->disks[i] = disk;
             return;
         }
     }
-    if (order->disk_count < ORDER_DISKS_MAX) {
-        order->disks[order->disk_count++] = disk;
+    if (replica->disk_count < REPLICA_DISKS_MAX) {
+        replica->disks[replica->disk_count++] = disk;
     }
 }
 
-/* What a disk reported; NULL when it did not
- * within ORDER_FORGET_MS. */
-static const struct order_disk *
-disk_of(const struct order *order, uint32_t replica)
+/* NULL when the disk sent no report within REPLICA_DISK_TIMEOUT_MS. */
+static const struct replica_disk *
+find_disk(const struct replica *replica, uint32_t address)
 {
-    for (size_t i = 0; i < order->disk_count; i++) {
-        if (order->disks[i].replica == replica) {
-            return &order->disks[i];
+    for (size_t i = 0; i < replica->disk_count; i++) {
+        if (replica->disks[i].address == address) {
+            return &replica->disks[i];
         }
     }
     return NULL;
 }
 
-/* Forgets disks that report nothing, and talks to the others. */
 void
-order_meet_disks(struct order *order, uint64_t now)
+replica_update_peers(struct replica *replica, uint64_t now)
 {
-    for (size_t i = order->disk_count; i > 0; i--) {
-        struct order_disk *disk = &order->disks[i - 1];
+    for (size_t i = replica->disk_count; i > 0; i--) {
+        struct replica_disk *disk = &replica->disks[i - 1];
 
-        if (now > disk->heard_at + ORDER_FORGET_MS) {
-            cons_drop_replica(&order->cons, disk->replica);
-            *disk = order->disks[--order->disk_count];
+        if (now > disk->last_seen_at + REPLICA_DISK_TIMEOUT_MS) {
+            cons_drop_replica(&replica->cons, disk->address);
+            *disk = replica->disks[--replica->disk_count];
         }
         else {
-            (void)cons_add_replica(&order->cons, now, disk->replica);
+            (void)cons_add_replica(&replica->cons, now, disk->address);
         }
     }
 }
 
-/* Says whether a disk holds the log as far as it is committed. */
+/* True when a disk holds all committed entries. */
 static bool
-holds_log(struct order *order, uint32_t replica, uint64_t identity)
+holds_log(struct replica *replica, uint32_t address, uint64_t identity)
 {
-    const struct cons *cons = &order->cons;
+    const struct cons *cons = &replica->cons;
 
     for (size_t i = 0; i < cons->replica_count; i++) {
-        if (cons->replicas[i] == replica && replica != cons->self) {
+        if (cons->replicas[i] == address && address != cons->self) {
             return cons->peers[i].identity == identity &&
                    cons->peers[i].match >= cons->commit;
         }
     }
-    return replica == cons->self && identity == cons->identity;
+    return address == cons->self && identity == cons->identity;
 }
 
-/* Says whether a list of voters holds a replica. */
 static bool
-lists_voter(const wire_config *config, uint32_t replica)
+is_voter(const wire_config *config, uint32_t address)
 {
     for (u_int i = 0; i < config->voters.voters_len; i++) {
-        if (config->voters.voters_val[i].replica == replica) {
+        if (config->voters.voters_val[i].replica == address) {
             return true;
         }
     }
     return false;
 }
 
-/* A disk that may become a voter: alive, holds the log, no voter yet. */
-static const struct order_disk *
-next_spare(struct order *order, const wire_config *config)
+/* A learner that holds all committed entries; NULL: none. */
+static const struct replica_disk *
+find_spare(struct replica *replica, const wire_config *config)
 {
-    for (size_t i = 0; i < order->disk_count; i++) {
-        const struct order_disk *disk = &order->disks[i];
+    for (size_t i = 0; i < replica->disk_count; i++) {
+        const struct replica_disk *disk = &replica->disks[i];
 
-        if (!lists_voter(config, disk->replica) &&
-            holds_log(order, disk->replica, disk->identity)) {
+        if (!is_voter(config, disk->address) &&
+            holds_log(replica, disk->address, disk->identity)) {
             return disk;
         }
     }
     return NULL;
 }
 
-/* When a voter was last heard, by messages or reports. */
 static uint64_t
-voter_heard_at(const struct order *order, uint32_t replica)
+voter_last_seen_at(const struct replica *replica, uint32_t address)
 {
-    const struct cons *cons = &order->cons;
+    const struct cons *cons = &replica->cons;
 
     for (size_t i = 0; i < cons->replica_count; i++) {
-        if (cons->replicas[i] == replica) {
+        if (cons->replicas[i] == address) {
             return cons->peers[i].heard_at;
         }
     }
     return 0;
 }
 
-/* Puts right one voter of a new list: its disk is another one now, or it is
- * gone and another disk takes its place. Returns true when it changed. */
+/* Replaces a voter whose disk was exchanged or that is gone. Returns true when
+ * the set changed. */
 static bool
-mend_voter(struct order *order, uint64_t now, wire_config *config,
-           wire_voter *voter)
+replace_voter(struct replica *replica, uint64_t now, wire_config *config,
+              wire_voter *voter)
 {
-    const struct order_disk *disk = disk_of(order, voter->replica);
-    const struct order_disk *spare;
+    const struct replica_disk *disk = find_disk(replica, voter->replica);
+    const struct replica_disk *spare;
 
-    if (voter->replica == order->cons.self) {
+    if (voter->replica == replica->cons.self) {
         return false;
     }
     if (disk != NULL && disk->identity != voter->identity &&
-        holds_log(order, disk->replica, disk->identity)) {
+        holds_log(replica, disk->address, disk->identity)) {
         voter->identity = disk->identity;
         return true;
     }
-    if (now <= voter_heard_at(order, voter->replica) + ORDER_REPLACE_MS ||
-        now <= order->cons.elected_at + ORDER_REPLACE_MS) {
+    if (now <=
+            voter_last_seen_at(replica, voter->replica) + REPLICA_REPLACE_MS ||
+        now <= replica->cons.elected_at + REPLICA_REPLACE_MS) {
         return false;
     }
-    spare = next_spare(order, config);
+    spare = find_spare(replica, config);
     if (spare == NULL) {
         return false;
     }
-    voter->replica = spare->replica;
+    voter->replica = spare->address;
     voter->identity = spare->identity;
     return true;
 }
 
-/* How many voters are wanted: as many as there are disks, the own one with
- * them, but an odd number, since an even one survives no more losses than the
- * odd one below it. */
+/* Voters wanted: the number of disks, this replica's included, rounded down to
+ * an odd number: one voter more would tolerate no more failures. */
 static u_int
-wanted_voters(const struct order *order, uint64_t now)
+wanted_voters(const struct replica *replica, uint64_t now)
 {
     u_int disks = 1;
 
-    for (size_t i = 0; i < order->disk_count; i++) {
-        disks += now <= order->disks[i].heard_at + ORDER_FRESH_MS;
+    for (size_t i = 0; i < replica->disk_count; i++) {
+        disks += now <= replica->disks[i].last_seen_at + REPLICA_DISK_FRESH_MS;
     }
     disks = MIN(disks, CONS_REPLICAS_MAX);
     return disks % 2 == 0 ? disks - 1 : disks;
 }
 
-/* Adds voters until there are as many as wanted, two at a time so that the
- * number stays odd. Returns true when the list changed. */
+/* Adds learners up to the wanted number, two at a time to keep it odd. Returns
+ * true when the set changed. */
 static bool
-grow_voters(struct order *order, uint64_t now, wire_config *config)
+grow_voters(struct replica *replica, uint64_t now, wire_config *config)
 {
     u_int before = config->voters.voters_len;
-    const struct order_disk *spare;
+    const struct replica_disk *spare;
 
-    while (config->voters.voters_len < wanted_voters(order, now) &&
-           (spare = next_spare(order, config)) != NULL) {
+    while (config->voters.voters_len < wanted_voters(replica, now) &&
+           (spare = find_spare(replica, config)) != NULL) {
         config->voters.voters_val[config->voters.voters_len++] = (wire_voter){
-            .replica = spare->replica, .identity = spare->identity};
+            .replica = spare->address, .identity = spare->identity};
     }
     if (config->voters.voters_len % 2 == 0 &&
         config->voters.voters_len > before) {
@@ -176,62 +171,60 @@
     return config->voters.voters_len != before;
 }
 
-/* Takes one voter off a list. */
 static void
-drop_voter(wire_config *config, u_int place)
+remove_voter(wire_config *config, u_int index)
 {
     config->voters.voters_len--;
-    config->voters.voters_val[place] =
+    config->voters.voters_val[index] =
         config->voters.voters_val[config->voters.voters_len];
 }
 
-/* Drops a voter that is gone and that no disk can replace, and another one so
- * that the number stays odd. Returns true when the list changed. */
+/* Removes a voter that is gone and that no disk can replace, and one more to
+ * keep the number odd. Returns true when the set changed. */
 static bool
-shrink_voters(struct order *order, uint64_t now, wire_config *config)
+shrink_voters(struct replica *replica, uint64_t now, wire_config *config)
 {
     u_int count = config->voters.voters_len;
-    u_int dead = count;
+    u_int gone = count;
     u_int other = count;
 
-    if (count <= wanted_voters(order, now) ||
-        now <= order->cons.elected_at + ORDER_SHRINK_MS) {
+    if (count <= wanted_voters(replica, now) ||
+        now <= replica->cons.elected_at + REPLICA_SHRINK_MS) {
         return false;
     }
     for (u_int i = 0; i < count; i++) {
-        uint32_t replica = config->voters.voters_val[i].replica;
+        uint32_t address = config->voters.voters_val[i].replica;
 
-        if (replica == order->cons.self) {
+        if (address == replica->cons.self) {
             continue;
         }
-        if (dead == count &&
-            now > voter_heard_at(order, replica) + ORDER_SHRINK_MS) {
-            dead = i;
+        if (gone == count &&
+            now > voter_last_seen_at(replica, address) + REPLICA_SHRINK_MS) {
+            gone = i;
         }
         else {
             other = i;
         }
     }
-    if (dead == count || other == count) {
+    if (gone == count || other == count) {
         return false;
     }
-    drop_voter(config, MAX(dead, other));
-    drop_voter(config, MIN(dead, other));
+    remove_voter(config, MAX(gone, other));
+    remove_voter(config, MIN(gone, other));
     return true;
 }
 
-/* LEADER: proposes a better list of voters, one change at a time. */
 void
-order_mend_voters(struct order *order, uint64_t now)
+replica_update_voters(struct replica *replica, uint64_t now)
 {
     wire_voter voters[CONS_REPLICAS_MAX];
-    const wire_config *latest = cons_config(&order->cons);
+    const wire_config *latest = cons_config(&replica->cons);
     wire_command command = {.kind = WIRE_CMD_CONFIG};
     wire_config *config = &command.wire_command_u.config;
     bool changed = false;
 
-    if (!cons_is_ready(&order->cons) ||
-        order->cons.change_index > order->cons.commit ||
+    if (!cons_is_ready(&replica->cons) ||
+        replica->cons.change_index > replica->cons.commit ||
         latest->voters.voters_len > CONS_REPLICAS_MAX) {
         return;
     }
@@ -240,10 +233,10 @@
     memcpy(voters, latest->voters.voters_val,
            latest->voters.voters_len * sizeof(*voters));
     for (u_int i = 0; i < config->voters.voters_len && !changed; i++) {
-        changed = mend_voter(order, now, config, &voters[i]);
+        changed = replace_voter(replica, now, config, &voters[i]);
     }
-    if (changed || grow_voters(order, now, config) ||
-        shrink_voters(order, now, config)) {
-        (void)cons_propose(&order->cons, now, &command);
+    if (changed || grow_voters(replica, now, config) ||
+        shrink_voters(replica, now, config)) {
+        (void)cons_propose(&replica->cons, now, &command);
     }
 }
--- a/replica.c
+++ b/replica.c
@@ -1,7 +1,4 @@
-/*
- * The order of routing tables and of emptied halls among the voters: applying
- * what is committed, and operators who wait.
- */
+/* Applies committed routing tables and hall orders, and answers operators. */
 #include "replica-internal.h"
 
 #include <string.h>
@@ -9,84 +6,81 @@
 #include "codec.h"
 #include "fault.h"
 
-/* Who gave up leading stands for election again only after so long, so that
- * another voter takes over. */
-#define RESIGNED_MS (4 * CONS_ELECTION_MS)
+/* After stepping down, a replica starts no election before other voters do. */
+#define STEP_DOWN_MS (4 * CONS_ELECTION_MS)
 
-/* Adds an action. */
-static struct order_action *
-act(struct order *order, enum order_action_kind kind)
+static struct replica_action *
+add_action(struct replica *replica, enum replica_action_kind kind)
 {
-    struct order_action action = {.kind = kind};
+    struct replica_action action = {.kind = kind};
 
-    g_array_append_val(order->actions, action);
-    return &g_array_index(order->actions, struct order_action,
-                          order->actions->len - 1);
+    g_array_append_val(replica->actions, action);
+    return &g_array_index(replica->actions, struct replica_action,
+                          replica->actions->len - 1);
 }
 
-/* Moves what consensus asks for to the own actions. */
 static void
-take_cons_actions(struct order *order)
+collect_cons_actions(struct replica *replica)
 {
     size_t count;
-    const struct cons_action *all = cons_actions(&order->cons, &count);
+    const struct cons_action *all = cons_actions(&replica->cons, &count);
 
     for (size_t i = 0; i < count; i++) {
-        act(order, ORDER_CONS)->cons = all[i];
+        add_action(replica, REPLICA_CONS)->cons = all[i];
     }
-    /* Appends borrow arrays, which live until the actions are cleared. */
-    g_array_set_size(order->cons.actions, 0);
+    /* The entries of CONS_SEND are freed by replica_clear(). */
+    g_array_set_size(replica->cons.actions, 0);
 }
 
-/* Answers an operator. */
 static void
-reply(struct order *order, uint64_t token, enum status_kind kind,
+reply(struct replica *replica, uint64_t token, enum status_kind kind,
       const char *message, bool with_table)
 {
-    struct order_action *action = act(order, ORDER_REPLY);
+    struct replica_action *action = add_action(replica, REPLICA_REPLY);
 
     action->token = token;
     action->with_table = with_table;
     (void)status_set(&action->status, kind, "%s", message);
 }
 
-/* Holds a committed table when its version is higher. */
+/* Applies a committed routing table unless its version is stale. */
 static void
-hold(struct order *order, const wire_routes *routes, GBytes *command)
+apply_table(struct replica *replica, const wire_routes *routes,
+            GBytes *command)
 {
-    if (routes->bundle_version <= order->version) {
+    if (routes->bundle_version <= replica->version) {
         return;
     }
-    g_clear_pointer(&order->routes, g_bytes_unref);
-    order->routes = g_bytes_ref(command);
-    order->version = routes->bundle_version;
-    (void)act(order, ORDER_APPLY);
+    g_clear_pointer(&replica->routes, g_bytes_unref);
+    replica->routes = g_bytes_ref(command);
+    replica->version = routes->bundle_version;
+    (void)add_action(replica, REPLICA_APPLY);
 }
 
-/* Holds a list of emptied halls, of a snapshot. */
 static void
-hold_halls(struct order *order, const wire_halls *halls)
+apply_snapshot_halls(struct replica *replica, const wire_halls *halls)
 {
-    if (hall_update(&order->halls, halls)) {
-        (void)act(order, ORDER_APPLY);
+    if (hall_update(&replica->halls, halls)) {
+        (void)add_action(replica, REPLICA_APPLY);
     }
 }
 
-/* Holds the table of a snapshot, as the entry that brought it. */
+/* Re-encodes the routing table of a snapshot as a log entry's command. */
 static void
-hold_table_of(struct order *order, const wire_order_state *state)
+apply_snapshot_table(struct replica *replica, const wire_order_state *state)
 {
     wire_command command = {.kind = WIRE_CMD_ROUTES,
                             .wire_command_u.routes = state->routes};
     GBytes *bytes = g_byte_array_free_to_bytes(codec_encode_command(&command));
 
-    hold(order, &state->routes, bytes);
+    apply_table(replica, &state->routes, bytes);
     g_bytes_unref(bytes);
 }
 
-/* Applies the encoded command of an entry, or of a snapshot up to it. */
+/* Applies the command of the entry at `index`, or of the snapshot that ends
+ * there. */
 static void
-apply_command(struct order *order, uint64_t index, GBytes *bytes)
+apply_command(struct replica *replica, uint64_t index, GBytes *bytes)
 {
     gsize length = 0;
     const void *data = g_bytes_get_data(bytes, &length);
@@ -97,16 +91,16 @@
     }
     switch (command.kind) {
     case WIRE_CMD_ROUTES:
-        hold(order, &command.wire_command_u.routes, bytes);
+        apply_table(replica, &command.wire_command_u.routes, bytes);
         break;
     case WIRE_CMD_HALL:
-        if (hall_apply(&order->halls, index, &command.wire_command_u.hall)) {
-            (void)act(order, ORDER_APPLY);
+        if (hall_apply(&replica->halls, index, &command.wire_command_u.hall)) {
+            (void)add_action(replica, REPLICA_APPLY);
         }
         break;
     case WIRE_CMD_STATE:
-        hold_table_of(order, &command.wire_command_u.state);
-        hold_halls(order, &command.wire_command_u.state.halls);
+        apply_snapshot_table(replica, &command.wire_command_u.state);
+        apply_snapshot_halls(replica, &command.wire_command_u.state.halls);
         break;
     case WIRE_CMD_NOOP:
     case WIRE_CMD_BUNDLE:
@@ -119,288 +113,292 @@
     codec_free_command(&command);
 }
 
-/* Takes the state of a snapshot. */
+/* Installs the snapshot if it is newer than the applied state. */
 static void
-load_snapshot(struct order *order)
+install_snapshot(struct replica *replica)
 {
-    const struct cons_snapshot *snapshot = &order->cons.snapshot;
+    const struct cons_snapshot *snapshot = &replica->cons.snapshot;
 
-    if (snapshot->index > order->applied && snapshot->state != NULL) {
-        order->applied = snapshot->index;
-        apply_command(order, snapshot->index, snapshot->state);
+    if (snapshot->index > replica->applied && snapshot->state != NULL) {
+        replica->applied = snapshot->index;
+        apply_command(replica, snapshot->index, snapshot->state);
     }
 }
 
-/* Applies what was committed since. */
 static void
-apply_committed(struct order *order)
+apply_committed(struct replica *replica)
 {
-    load_snapshot(order);
-    while (order->applied < order->cons.commit) {
+    install_snapshot(replica);
+    while (replica->applied < replica->cons.commit) {
         const struct cons_entry *entry =
-            cons_entry_at(&order->cons, order->applied + 1);
+            cons_entry_at(&replica->cons, replica->applied + 1);
 
         if (entry == NULL) {
             break;
         }
-        order->applied++;
-        counter_add(order->counters, COUNTER_COMMITS, 1);
-        apply_command(order, order->applied, entry->command);
+        replica->applied++;
+        counter_add(replica->counters, COUNTER_COMMITS, 1);
+        apply_command(replica, replica->applied, entry->command);
     }
 }
 
-/* The state with its halls. */
+/* Encodes the routing table and the hall orders. */
 static GBytes *
-pack_halls(const struct order *order)
+encode_full_state(const struct replica *replica)
 {
     wire_command out = {.kind = WIRE_CMD_STATE};
     wire_command table = {.kind = WIRE_CMD_NOOP};
     wire_hall room[HALL_MAX];
     gsize length = 0;
-    const void *data = order->routes != NULL
-                           ? g_bytes_get_data(order->routes, &length)
+    const void *data = replica->routes != NULL
+                           ? g_bytes_get_data(replica->routes, &length)
                            : NULL;
     GByteArray *bytes;
 
     if (data != NULL && codec_decode_command(data, length, &table)) {
         out.wire_command_u.state.routes = table.wire_command_u.routes;
     }
-    hall_pack(&order->halls, room, &out.wire_command_u.state.halls);
+    hall_pack(&replica->halls, room, &out.wire_command_u.state.halls);
     bytes = codec_encode_command(&out);
     codec_free_command(&table);
     return g_byte_array_free_to_bytes(bytes);
 }
 
-/* The state as a snapshot holds it: where no hall was ever emptied, the table
- * as releases without such orders read it; a no-op when there is none yet. */
+/* State of a snapshot. Before the first hall order it is the routing table
+ * alone, or a no-op, which releases without hall orders read too. */
 static GBytes *
-pack_state(const struct order *order)
+encode_state(const struct replica *replica)
 {
     wire_command command = {.kind = WIRE_CMD_NOOP};
 
-    if (order->halls.revision != 0) {
-        return pack_halls(order);
+    if (replica->halls.revision != 0) {
+        return encode_full_state(replica);
     }
-    return order->routes != NULL
-               ? g_bytes_ref(order->routes)
+    return replica->routes != NULL
+               ? g_bytes_ref(replica->routes)
                : g_byte_array_free_to_bytes(codec_encode_command(&command));
 }
 
-/* Replaces a long log by a snapshot, unless something waits to be stored,
- * which the snapshot would take out of the log: an entry is committed before
- * it is stored where one voter is a quorum, or where a follower catches up. */
+/* Compacts a long log, but not while actions are outstanding:
+ * CONS_SAVE_ENTRIES may refer to committed entries that compaction would
+ * remove (with a single voter, or on a follower that catches up). */
 static void
-compact(struct order *order)
+compact(struct replica *replica)
 {
     GBytes *state;
 
-    if (order->actions->len > 0 ||
-        order->applied < order->cons.snapshot.index + ORDER_COMPACT) {
+    if (replica->actions->len > 0 ||
+        replica->applied <
+            replica->cons.snapshot.index + REPLICA_COMPACT_ENTRIES) {
         return;
     }
-    state = pack_state(order);
-    cons_compact(&order->cons, order->applied, state);
+    state = encode_state(replica);
+    cons_compact(&replica->cons, replica->applied, state);
     g_bytes_unref(state);
 }
 
-/* Says whether a wait is over, and how. */
+/* Answers a pending request that is decided or has timed out; true when it
+ * answered. */
 static bool
-is_over(struct order *order, uint64_t now, const struct order_wait *wait)
+answer_if_decided(struct replica *replica, uint64_t now,
+                  const struct replica_pending *request)
 {
-    const struct cons *cons = &order->cons;
+    const struct cons *cons = &replica->cons;
 
-    if (cons->role != CONS_LEADER || cons->term != wait->term) {
-        reply(order, wait->token, STATUS_UNCONFIRMED,
-              "the leader changed; send it again, to any node", false);
+    if (cons->role != CONS_LEADER || cons->term != request->term) {
+        reply(replica, request->token, STATUS_UNCONFIRMED,
+              "the leader changed before a quorum confirmed the request; "
+              "retry at any node",
+              false);
         return true;
     }
-    if (wait->read ? cons->confirmed >= wait->round && cons_is_ready(cons)
-                   : order->applied >= wait->index) {
-        reply(order, wait->token, STATUS_OK, "", wait->read);
+    if (request->read
+            ? cons->confirmed >= request->round && cons_is_ready(cons)
+            : replica->applied >= request->index) {
+        reply(replica, request->token, STATUS_OK, "", request->read);
         return true;
     }
-    if (now >= wait->deadline) {
-        reply(order, wait->token, STATUS_UNCONFIRMED,
-              "no quorum of disks confirmed it in time; send it again", false);
+    if (now >= request->deadline) {
+        reply(replica, request->token, STATUS_UNCONFIRMED,
+              "no quorum of disks confirmed the request in time; retry",
+              false);
         return true;
     }
     return false;
 }
 
-/* Answers operators whose wait is over. */
 static void
-end_waits(struct order *order, uint64_t now)
+answer_pending(struct replica *replica, uint64_t now)
 {
-    for (guint i = order->waits->len; i > 0; i--) {
-        struct order_wait wait =
-            g_array_index(order->waits, struct order_wait, i - 1);
+    for (guint i = replica->pending->len; i > 0; i--) {
+        struct replica_pending request =
+            g_array_index(replica->pending, struct replica_pending, i - 1);
 
-        if (is_over(order, now, &wait)) {
-            g_array_remove_index_fast(order->waits, i - 1);
+        if (answer_if_decided(replica, now, &request)) {
+            g_array_remove_index_fast(replica->pending, i - 1);
         }
     }
 }
 
-/* What follows each event. */
+/* Runs after each event. */
 static void
-settle(struct order *order, uint64_t now)
+finish_event(struct replica *replica, uint64_t now)
 {
-    take_cons_actions(order);
-    apply_committed(order);
-    end_waits(order, now);
+    collect_cons_actions(replica);
+    apply_committed(replica);
+    answer_pending(replica, now);
 }
 
-/* Starts a replica. */
 void
-order_open(struct order *order, uint64_t now, uint32_t self, uint64_t identity,
-           bool founder, uint64_t seed, struct cons_stored *stored,
-           struct counters *counters)
+replica_open(struct replica *replica, uint64_t now, uint32_t self,
+             uint64_t identity, bool founder, uint64_t seed,
+             struct cons_stored *stored, struct counters *counters)
 {
-    wire_voter alone = {.replica = self, .identity = identity};
-    wire_config founders = {
-        .voters = {.voters_len = founder ? 1 : 0, .voters_val = &alone}};
-
-    memset(order, 0, sizeof(*order));
-    order->counters = counters;
-    order->waits = g_array_new(FALSE, FALSE, sizeof(struct order_wait));
-    order->actions = g_array_new(FALSE, TRUE, sizeof(struct order_action));
-    cons_open(&order->cons, now, self, identity, &self, 1, &founders, seed,
+    wire_voter self_voter = {.replica = self, .identity = identity};
+    wire_config bootstrap = {
+        .voters = {.voters_len = founder ? 1 : 0, .voters_val = &self_voter}};
+
+    memset(replica, 0, sizeof(*replica));
+    replica->counters = counters;
+    replica->pending =
+        g_array_new(FALSE, FALSE, sizeof(struct replica_pending));
+    replica->actions = g_array_new(FALSE, TRUE, sizeof(struct replica_action));
+    cons_open(&replica->cons, now, self, identity, &self, 1, &bootstrap, seed,
               stored);
-    order->cons.election_at =
-        now + ORDER_FIRST_MS + seed % ORDER_FIRST_SPAN_MS;
-    if (founder && cons_last_index(&order->cons) == 0) {
-        order->founded_at = now;
-        order->cons.election_at = now;
+    replica->cons.election_at = now + REPLICA_FIRST_ELECTION_MS +
+                                seed % REPLICA_FIRST_ELECTION_JITTER_MS;
+    if (founder && cons_last_index(&replica->cons) == 0) {
+        replica->bootstrapped_at = now;
+        replica->cons.election_at = now;
     }
-    settle(order, now);
+    finish_event(replica, now);
 }
 
-/* Frees a replica. */
 void
-order_close(struct order *order)
+replica_close(struct replica *replica)
 {
-    order_clear(order);
-    cons_close(&order->cons);
-    g_clear_pointer(&order->routes, g_bytes_unref);
-    g_array_free(order->waits, TRUE);
-    g_array_free(order->actions, TRUE);
+    replica_clear(replica);
+    cons_close(&replica->cons);
+    g_clear_pointer(&replica->routes, g_bytes_unref);
+    g_array_free(replica->pending, TRUE);
+    g_array_free(replica->actions, TRUE);
 }
 
-/* A new leader writes its list of voters once, so that each log that begins
- * empty holds the list that a later change starts from. */
+/* Runs once in each term led here. After a bootstrap, logs the set of voters,
+ * so that later membership changes start from a logged one. */
 static void
-begin_to_lead(struct order *order, uint64_t now)
+start_leading(struct replica *replica, uint64_t now)
 {
-    const struct cons *cons = &order->cons;
+    const struct cons *cons = &replica->cons;
 
-    if (order->lead_term == cons->term) {
+    if (replica->led_term == cons->term) {
         return;
     }
-    order->lead_term = cons->term;
-    order->settled_at =
-        order->founded_at != 0 ? order->founded_at + ORDER_SETTLE_MS : now;
-    if (order->founded_at != 0 && cons->change_index == 0) {
+    replica->led_term = cons->term;
+    replica->ready_at = replica->bootstrapped_at != 0
+                            ? replica->bootstrapped_at + REPLICA_JOIN_MS
+                            : now;
+    if (replica->bootstrapped_at != 0 && cons->change_index == 0) {
         wire_command command = {.kind = WIRE_CMD_CONFIG};
 
         command.wire_command_u.config = *cons_config(cons);
-        (void)cons_propose(&order->cons, now, &command);
+        (void)cons_propose(&replica->cons, now, &command);
     }
 }
 
-/* Lets time pass. */
 void
-order_tick(struct order *order, uint64_t now)
+replica_tick(struct replica *replica, uint64_t now)
 {
-    compact(order);
-    cons_tick(&order->cons, now);
-    if (order->cons.role == CONS_LEADER) {
-        begin_to_lead(order, now);
-        order_meet_disks(order, now);
-        order_mend_voters(order, now);
-    }
-    settle(order, now);
+    compact(replica);
+    cons_tick(&replica->cons, now);
+    if (replica->cons.role == CONS_LEADER) {
+        start_leading(replica, now);
+        replica_update_peers(replica, now);
+        replica_update_voters(replica, now);
+    }
+    finish_event(replica, now);
 }
 
-/* Takes a message. */
 void
-order_receive(struct order *order, uint64_t now, const wire_msg *msg)
+replica_receive(struct replica *replica, uint64_t now, const wire_msg *msg)
 {
-    cons_receive(&order->cons, now, msg);
-    if (order->cons.role == CONS_LEADER) {
-        begin_to_lead(order, now);
+    cons_receive(&replica->cons, now, msg);
+    if (replica->cons.role == CONS_LEADER) {
+        start_leading(replica, now);
     }
-    settle(order, now);
+    finish_event(replica, now);
 }
 
-/* Says whether this replica may take an operator's request, or answers. */
+/* True when this replica accepts operators' requests; else it answers. */
 static bool
-may_take(struct order *order, uint64_t now, uint64_t token)
+accepts_requests(struct replica *replica, uint64_t now, uint64_t token)
 {
-    if (order->cons.role != CONS_LEADER || order->cons.failed) {
-        reply(order, token, STATUS_NO_ANSWER,
-              "this node does not lead; send it to another", false);
+    if (replica->cons.role != CONS_LEADER || replica->cons.failed) {
+        reply(replica, token, STATUS_NO_ANSWER,
+              "this node is not the leader; send the request to another node",
+              false);
         return false;
     }
-    if (now < order->settled_at) {
-        reply(order, token, STATUS_NO_ANSWER,
-              "disks are still joining; send it again", false);
+    if (now < replica->ready_at) {
+        reply(replica, token, STATUS_NO_ANSWER,
+              "the deployment is starting and disks are still joining; retry",
+              false);
         return false;
     }
     return true;
 }
 
-/* Proposes what an operator sent; it is answered when committed. */
+/* Proposes a command; its request is answered once the entry is applied. */
 static void
-propose(struct order *order, uint64_t now, uint64_t token,
+propose(struct replica *replica, uint64_t now, uint64_t token,
         wire_command *command)
 {
-    struct order_wait wait = {.token = token,
-                              .term = order->cons.term,
-                              .deadline = now + ORDER_ANSWER_MS};
+    struct replica_pending request = {.token = token,
+                                      .term = replica->cons.term,
+                                      .deadline =
+                                          now + REPLICA_REQUEST_TIMEOUT_MS};
 
-    wait.index = cons_propose(&order->cons, now, command);
-    if (wait.index != 0) {
-        g_array_append_val(order->waits, wait);
+    request.index = cons_propose(&replica->cons, now, command);
+    if (request.index != 0) {
+        g_array_append_val(replica->pending, request);
     }
     else {
-        reply(order, token, STATUS_NO_ANSWER,
-              "this node leads no more; send it to another", false);
+        reply(
+            replica, token, STATUS_NO_ANSWER,
+            "this node lost the leadership; send the request to another node",
+            false);
     }
-    settle(order, now);
+    finish_event(replica, now);
 }
 
-/* An operator sends a table. What is not higher than the version held is
- * acknowledged and changes nothing; so is a resend. */
 void
-order_submit(struct order *order, uint64_t now, uint64_t token,
-             const wire_routes *routes)
+replica_submit(struct replica *replica, uint64_t now, uint64_t token,
+               const wire_routes *routes)
 {
     wire_command command = {.kind = WIRE_CMD_ROUTES,
                             .wire_command_u.routes = *routes};
 
-    if (!may_take(order, now, token)) {
+    if (!accepts_requests(replica, now, token)) {
         return;
     }
-    if (routes->bundle_version <= order->version) {
-        reply(order, token, STATUS_OK, "", false);
+    if (routes->bundle_version <= replica->version) {
+        reply(replica, token, STATUS_OK, "", false);
         return;
     }
-    propose(order, now, token, &command);
+    propose(replica, now, token, &command);
 }
 
-/* Says whether there is room for one more emptied hall, should all operators
- * who wait empty another one. */
+/* Counts every pending request as one more drained hall. */
 static bool
-has_room(const struct order *order, const struct hall_order *hall)
+has_hall_capacity(const struct replica *replica, const struct hall_order *hall)
 {
-    return !hall->drained || hall_is_drained(&order->halls, hall->hall) ||
-           order->halls.count + order->waits->len < HALL_MAX;
+    return !hall->drained || hall_is_drained(&replica->halls, hall->hall) ||
+           replica->halls.count + replica->pending->len < HALL_MAX;
 }
 
-/* An operator empties a hall, or takes it back. */
 void
-order_submit_hall(struct order *order, uint64_t now, uint64_t token,
-                  const struct hall_order *hall)
+replica_submit_hall(struct replica *replica, uint64_t now, uint64_t token,
+                    const struct hall_order *hall)
 {
     wire_command command = {.kind = WIRE_CMD_HALL};
     wire_hall_order *out = &command.wire_command_u.hall;
@@ -408,108 +406,105 @@
     *out = (wire_hall_order){.hall = (char *)hall->hall,
                              .emptied = hall->drained,
                              .wall = hall->wall};
-    if (!may_take(order, now, token)) {
+    if (!accepts_requests(replica, now, token)) {
         return;
     }
-    if (!has_room(order, hall)) {
-        reply(order, token, STATUS_REFUSED,
-              "too many data halls are emptied; take one back first", false);
+    if (!has_hall_capacity(replica, hall)) {
+        reply(replica, token, STATUS_REFUSED,
+              "the limit of drained data halls is reached; undrain one first",
+              false);
         return;
     }
     if (fault_is(FAULT_HALLS_UNLOGGED)) {
-        (void)hall_apply(&order->halls, order->applied + 1, out);
-        (void)act(order, ORDER_APPLY);
-        reply(order, token, STATUS_OK, "", false);
+        (void)hall_apply(&replica->halls, replica->applied + 1, out);
+        (void)add_action(replica, REPLICA_APPLY);
+        reply(replica, token, STATUS_OK, "", false);
         return;
     }
-    propose(order, now, token, &command);
+    propose(replica, now, token, &command);
 }
 
-/* An operator asks. */
 void
-order_read(struct order *order, uint64_t now, uint64_t token)
+replica_read(struct replica *replica, uint64_t now, uint64_t token)
 {
-    struct order_wait wait = {.token = token,
-                              .read = true,
-                              .term = order->cons.term,
-                              .deadline = now + ORDER_ANSWER_MS};
+    struct replica_pending request = {.token = token,
+                                      .read = true,
+                                      .term = replica->cons.term,
+                                      .deadline =
+                                          now + REPLICA_REQUEST_TIMEOUT_MS};
 
-    if (!may_take(order, now, token)) {
+    if (!accepts_requests(replica, now, token)) {
         return;
     }
-    wait.round = cons_begin_round(&order->cons, now);
-    g_array_append_val(order->waits, wait);
-    settle(order, now);
+    request.round = cons_begin_round(&replica->cons, now);
+    g_array_append_val(replica->pending, request);
+    finish_event(replica, now);
 }
 
-/* Gives up leading. */
 void
-order_resign(struct order *order, uint64_t now)
+replica_step_down(struct replica *replica, uint64_t now)
 {
-    if (order->cons.role == CONS_LEADER) {
-        order->cons.role = CONS_FOLLOWER;
-        order->cons.leader = 0;
-        order->cons.election_at = now + RESIGNED_MS;
-        settle(order, now);
+    if (replica->cons.role == CONS_LEADER) {
+        replica->cons.role = CONS_FOLLOWER;
+        replica->cons.leader = 0;
+        replica->cons.election_at = now + STEP_DOWN_MS;
+        finish_event(replica, now);
     }
 }
 
-/* Gives the actions. */
-const struct order_action *
-order_actions(struct order *order, size_t *count)
+const struct replica_action *
+replica_actions(struct replica *replica, size_t *count)
 {
-    *count = order->actions->len;
-    return (const struct order_action *)(void *)order->actions->data;
+    *count = replica->actions->len;
+    return (const struct replica_action *)(void *)replica->actions->data;
 }
 
-/* Lists the operators who are still owed an answer. */
 GArray *
-order_unanswered(const struct order *order, size_t from)
+replica_unanswered_tokens(const struct replica *replica, size_t from)
 {
     GArray *tokens = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 
-    for (size_t i = from; i < order->actions->len; i++) {
-        const struct order_action *action =
-            &g_array_index(order->actions, struct order_action, i);
+    for (size_t i = from; i < replica->actions->len; i++) {
+        const struct replica_action *action =
+            &g_array_index(replica->actions, struct replica_action, i);
 
-        if (action->kind == ORDER_REPLY) {
+        if (action->kind == REPLICA_REPLY) {
             g_array_append_val(tokens, action->token);
         }
     }
-    for (guint i = 0; i < order->waits->len; i++) {
+    for (guint i = 0; i < replica->pending->len; i++) {
         g_array_append_val(
-            tokens, g_array_index(order->waits, struct order_wait, i).token);
+            tokens,
+            g_array_index(replica->pending, struct replica_pending, i).token);
     }
     return tokens;
 }
 
-/* Forgets the actions, and frees what appends borrowed. */
 void
-order_clear(struct order *order)
+replica_clear(struct replica *replica)
 {
-    for (guint i = 0; i < order->actions->len; i++) {
-        struct order_action *action =
-            &g_array_index(order->actions, struct order_action, i);
+    for (guint i = 0; i < replica->actions->len; i++) {
+        struct replica_action *action =
+            &g_array_index(replica->actions, struct replica_action, i);
 
-        if (action->kind == ORDER_CONS && action->cons.kind == CONS_SEND &&
+        if (action->kind == REPLICA_CONS && action->cons.kind == CONS_SEND &&
             action->cons.msg.kind == WIRE_APPEND) {
             g_free(action->cons.msg.wire_msg_u.append.entries.entries_val);
         }
     }
-    g_array_set_size(order->actions, 0);
+    g_array_set_size(replica->actions, 0);
 }
 
-/* Earliest time at which something is due. */
 uint64_t
-order_deadline(const struct order *order)
+replica_deadline(const struct replica *replica)
 {
-    const struct cons *cons = &order->cons;
+    const struct cons *cons = &replica->cons;
     uint64_t at =
         cons->role == CONS_LEADER ? cons->heartbeat_at : cons->election_at;
 
-    for (guint i = 0; i < order->waits->len; i++) {
-        at = MIN(at,
-                 g_array_index(order->waits, struct order_wait, i).deadline);
+    for (guint i = 0; i < replica->pending->len; i++) {
+        at = MIN(at, g_array_index(replica->pending, struct replica_pending, i)
+                         .deadline);
     }
     return at;
 }
--- a/replica.h
+++ b/replica.h
@@ -1,151 +1,154 @@
 /**
  * @file replica.h
- * One voter of a deployment where the highest version wins: consensus on the
- * routing tables that operators send and on which data halls they empty, reads
- * confirmed by a quorum, and who votes. Founds itself alone, takes other disks
- * in once they hold the log, and replaces voters that lost their disk or are
- * gone. Owns the log and the table held, reads of a table only its version,
- * and does no I/O: actions come back in the order in which they must be
- * carried out.
+ * One Raft replica (Ongaro and Ousterhout, USENIX ATC 2014) of the
+ * deployment's configuration: the log and the state machine of routing tables
+ * and drained data halls, reads confirmed by a quorum, and the changes of the
+ * set of voters. The routing table with the highest version is in force.
  *
- * A replica's number is its node's IPv4 address.
+ * Does no I/O: each call appends actions, which the caller carries out in
+ * their order. A replica is addressed by its node's IPv4 address.
  */
-#ifndef RIDGERIDGE_ORDER_H
-#define RIDGERIDGE_ORDER_H
+#ifndef RIDGERIDGE_REPLICA_H
+#define RIDGERIDGE_REPLICA_H
 
 #include "cons.h"
 #include "counter.h"
 #include "hall.h"
 #include "status.h"
 
-#define ORDER_ANSWER_MS                                                       \
-    900U /**< longest wait of an operator, who asks                           \
-              another node after a second */
-#define ORDER_FIRST_MS                                                        \
-    250U                         /**< least time to a first election after a  \
-                                      start: a leader is heard every 200 ms */
-#define ORDER_FIRST_SPAN_MS 400U /**< random time added to it */
-#define ORDER_REPLACE_MS                                                      \
-    3000U /**< a voter unheard so long is replaced, if                        \
-               another disk holds the log */
-#define ORDER_FRESH_MS                                                        \
-    1500U /**< a disk counts for more voters only when                        \
-               it reported this lately */
-#define ORDER_SHRINK_MS                                                       \
-    10000U /**< a voter unheard so long that no disk can                      \
-                replace is dropped */
-#define ORDER_FORGET_MS                                                       \
-    6000U /**< a disk that reports nothing so long is                         \
-               not talked to, unless it votes */
-#define ORDER_SETTLE_MS                                                       \
-    2000U                 /**< after founding, disks have so long to          \
-                               join before the first order is taken */
-#define ORDER_COMPACT 64U /**< entries of the log before a snapshot */
-#define ORDER_DISKS_MAX CONS_PEERS_MAX
-
-/** What the shell must do. */
-enum order_action_kind {
-    ORDER_CONS,  /**< an action of consensus */
-    ORDER_REPLY, /**< answer the operator who holds `token` */
-    ORDER_APPLY  /**< a newer table or list of emptied halls is committed:
-                      `order.routes`, `order.halls` */
+#define REPLICA_REQUEST_TIMEOUT_MS                                            \
+    900U /**< an operator tries the next node after 1 s */
+#define REPLICA_FIRST_ELECTION_MS                                             \
+    250U /**< first election after a start, at the earliest; above            \
+            CONS_HEARTBEAT_MS */
+#define REPLICA_FIRST_ELECTION_JITTER_MS 400U /**< random, added to it */
+#define REPLICA_REPLACE_MS                                                    \
+    3000U /**< without a message from a voter, until a disk with the whole    \
+             log replaces it */
+#define REPLICA_DISK_FRESH_MS                                                 \
+    1500U /**< age of the last report up to which a disk raises the wanted    \
+             number of voters */
+#define REPLICA_SHRINK_MS                                                     \
+    10000U /**< without a message from a voter that no disk can replace,      \
+              until it is removed */
+#define REPLICA_DISK_TIMEOUT_MS                                               \
+    6000U /**< without a report from a learner, until it is removed */
+#define REPLICA_JOIN_MS                                                       \
+    2000U /**< after bootstrap, for disks to join before operators' requests  \
+             are accepted */
+#define REPLICA_COMPACT_ENTRIES                                               \
+    64U /**< applied entries since the last snapshot */
+#define REPLICA_DISKS_MAX CONS_PEERS_MAX
+
+/** What the caller must do. */
+enum replica_action_kind {
+    REPLICA_CONS,  /**< carry out `cons` */
+    REPLICA_REPLY, /**< answer the operator's request `token` */
+    REPLICA_APPLY  /**< `routes` or `halls` of the replica changed */
 };
 
-/** One action. */
-struct order_action {
-    enum order_action_kind kind; /**< which of the following is set */
-    struct cons_action cons;     /**< CONS */
-    uint64_t token;              /**< REPLY */
-    struct status status;        /**< REPLY */
-    bool with_table;             /**< REPLY: to a read; send the table */
+struct replica_action {
+    enum replica_action_kind kind; /**< which of the following is set */
+    struct cons_action cons;       /**< CONS */
+    uint64_t token;                /**< REPLY */
+    struct status status;          /**< REPLY */
+    bool with_table;               /**< REPLY: send the routing table */
 };
 
-/** A disk of the deployment, as its node reported it. */
-struct order_disk {
-    uint32_t replica;  /**< address of its node */
-    uint64_t identity; /**< of the disk */
-    uint64_t heard_at; /**< last report */
+/** A node with a disk: a voter or a learner. */
+struct replica_disk {
+    uint32_t address;  /**< IPv4, host order */
+    uint64_t identity; /**< of the disk; a replaced disk has another one */
+    uint64_t last_seen_at;
 };
 
-/** An operator who waits. */
-struct order_wait {
-    uint64_t token;    /**< of the shell */
-    bool read;         /**< waits for a round, not for an entry */
-    uint64_t index;    /**< entry to be committed */
-    uint64_t term;     /**< in which it was proposed */
-    uint64_t round;    /**< to be confirmed */
-    uint64_t deadline; /**< answered as unconfirmed then */
+/** A request of an operator that is not answered yet. */
+struct replica_pending {
+    uint64_t token;    /**< given by the caller */
+    bool read;         /**< waits for `round`, else for `index` */
+    uint64_t index;    /**< log entry of the request */
+    uint64_t term;     /**< at arrival; another term ends the wait */
+    uint64_t round;    /**< quorum round that confirms a read */
+    uint64_t deadline; /**< answered with STATUS_UNCONFIRMED then */
 };
 
-/** One voter, or one that learns. */
-struct order {
-    struct cons cons;                         /**< the log */
-    GBytes *routes;                           /**< encoded wire_command of the
-                                                   table held; NULL: none */
-    uint64_t version;                         /**< of it */
-    struct hall_set halls;                    /**< that are emptied */
-    uint64_t applied;                         /**< entries applied */
-    struct order_disk disks[ORDER_DISKS_MAX]; /**< that reported */
-    size_t disk_count;                        /**< of disks */
-    uint64_t founded_at;                      /**< here, 0: not here */
-    uint64_t settled_at;                      /**< first leader of this run:
-                                                   orders wait until then */
-    uint64_t lead_term;                       /**< last term led here */
-    GArray *waits;                            /**< struct order_wait */
-    GArray *actions;                          /**< struct order_action */
-    struct counters *counters;                /**< of the process */
+/** A voter or a learner. */
+struct replica {
+    struct cons cons;      /**< Raft state and log */
+    GBytes *routes;        /**< encoded wire_command; NULL: none */
+    uint64_t version;      /**< of the routing table, 0: none */
+    struct hall_set halls; /**< drained data halls */
+    uint64_t applied;      /**< index of the last applied entry */
+    struct replica_disk disks[REPLICA_DISKS_MAX];
+    size_t disk_count;
+    uint64_t bootstrapped_at;  /**< 0: another replica did */
+    uint64_t ready_at;         /**< operators' requests are accepted then */
+    uint64_t led_term;         /**< last term in which this replica led */
+    GArray *pending;           /**< of struct replica_pending */
+    GArray *actions;           /**< of struct replica_action */
+    struct counters *counters; /**< of the process, not owned */
 };
 
-/** Starts a replica; see cons_open(). A founder votes alone at first. */
-void order_open(struct order *order, uint64_t now, uint32_t self,
-                uint64_t identity, bool founder, uint64_t seed,
-                struct cons_stored *stored, struct counters *counters);
+/**
+ * @param founder bootstraps the deployment as its only voter
+ * @param stored see cons_open()
+ */
+void replica_open(struct replica *replica, uint64_t now, uint32_t self,
+                  uint64_t identity, bool founder, uint64_t seed,
+                  struct cons_stored *stored, struct counters *counters);
 
-/** Frees a replica. */
-void order_close(struct order *order);
+void replica_close(struct replica *replica);
 
-/** Notes that a node with a disk is alive. */
-void order_hear(struct order *order, uint64_t now, uint32_t replica,
-                uint64_t identity);
+/** Records a report of a node with a disk. */
+void replica_update_disk(struct replica *replica, uint64_t now,
+                         uint32_t address, uint64_t identity);
 
-/** Lets time pass. */
-void order_tick(struct order *order, uint64_t now);
+/** Runs what is due at `now`; see replica_deadline(). */
+void replica_tick(struct replica *replica, uint64_t now);
 
-/** Takes a message of another replica. */
-void order_receive(struct order *order, uint64_t now, const wire_msg *msg);
+/** Handles a message of another replica. */
+void replica_receive(struct replica *replica, uint64_t now,
+                     const wire_msg *msg);
 
-/** An operator sends a table, which was checked. */
-void order_submit(struct order *order, uint64_t now, uint64_t token,
-                  const wire_routes *routes);
+/**
+ * Submits an operator's routing table, already validated. A version that is
+ * not above the current one is acknowledged without a log entry.
+ */
+void replica_submit(struct replica *replica, uint64_t now, uint64_t token,
+                    const wire_routes *routes);
 
 /**
- * An operator empties a hall or takes it back; STATUS_OK once that is stored
- * by a quorum. Each order is an entry of the log, also one that changes
- * nothing: only then is it sure that no later leader took it back.
+ * Submits an operator's order to drain or undrain a data hall; answered with
+ * STATUS_OK once a quorum stored it. An order that changes nothing is logged
+ * too, to confirm that no later leader has undone it.
  */
-void order_submit_hall(struct order *order, uint64_t now, uint64_t token,
-                       const struct hall_order *hall);
+void replica_submit_hall(struct replica *replica, uint64_t now, uint64_t token,
+                         const struct hall_order *hall);
 
-/** An operator asks; STATUS_OK means that a quorum confirmed the answer. */
-void order_read(struct order *order, uint64_t now, uint64_t token);
+/**
+ * Reads the routing table, linearizable: STATUS_OK means that a quorum
+ * confirmed the leader since the request arrived.
+ */
+void replica_read(struct replica *replica, uint64_t now, uint64_t token);
 
-/** Gives up leading, so that another voter takes over at once. */
-void order_resign(struct order *order, uint64_t now);
+/** Steps down as leader and delays the next candidacy of this replica. */
+void replica_step_down(struct replica *replica, uint64_t now);
 
-/** Takes the actions. */
-const struct order_action *order_actions(struct order *order, size_t *count);
+/** Actions since the last replica_clear(), in order. */
+const struct replica_action *replica_actions(struct replica *replica,
+                                             size_t *count);
 
 /**
- * Lists the operators who are still owed an answer when a disk refused: those
- * who wait, and those whose answer stands among the actions from `from` on.
+ * Tokens of requests without an answer after a disk failure: those pending,
+ * and those whose REPLY is among the actions from `from` on.
  * @return uint64_t tokens; free with g_array_free()
  */
-GArray *order_unanswered(const struct order *order, size_t from);
+GArray *replica_unanswered_tokens(const struct replica *replica, size_t from);
 
-/** Forgets the actions, after they were carried out. */
-void order_clear(struct order *order);
+/** Drops the actions after they were carried out. */
+void replica_clear(struct replica *replica);
 
-/** Earliest time at which order_tick() has something to do. */
-uint64_t order_deadline(const struct order *order);
+/** Time at which replica_tick() is due next. */
+uint64_t replica_deadline(const struct replica *replica);
 
 #endif
--- a/ring.c
+++ b/ring.c
@@ -1,4 +1,4 @@
-/* The ring of decisions. */
+/* Ring buffer of decisions, and the names of the rules. */
 #include "ring.h"
 
 #include <glib.h>
@@ -16,7 +16,6 @@
 #undef X
 };
 
-/* Allocates the records. */
 void
 ring_open(struct ring *ring, size_t size)
 {
@@ -25,7 +24,6 @@
     ring->last = 0;
 }
 
-/* Frees the records. */
 void
 ring_close(struct ring *ring)
 {
@@ -33,29 +31,27 @@
     ring->size = 0;
 }
 
-/* Adds one record. */
 void
 ring_add(struct ring *ring, const struct ring_record *record)
 {
-    struct ring_record *place;
+    struct ring_record *slot;
 
     if (ring->size == 0) {
         return;
     }
     ring->last++;
-    place = &ring->records[ring->last % ring->size];
-    *place = *record;
-    place->sequence = ring->last;
+    slot = &ring->records[ring->last % ring->size];
+    *slot = *record;
+    slot->sequence = ring->last;
 }
 
-/* Sequence of the oldest record held. */
+/* Sequence of the oldest record. */
 static uint64_t
 oldest(const struct ring *ring)
 {
     return ring->last > ring->size ? ring->last - ring->size + 1 : 1;
 }
 
-/* Finds records, newest first. */
 size_t
 ring_find(const struct ring *ring, uint64_t subject, struct ring_record *out,
           size_t max)
@@ -72,9 +68,8 @@
     return count;
 }
 
-/* Finds when the oldest record held was made, once some are gone. */
 uint64_t
-ring_since(const struct ring *ring)
+ring_overwritten_before(const struct ring *ring)
 {
     if (ring->last <= ring->size) {
         return 0;
@@ -82,23 +77,20 @@
     return ring->records[oldest(ring) % ring->size].at;
 }
 
-/* Names a rule. */
 const char *
 ring_rule_name(enum ring_rule rule)
 {
     return rule < RULE_COUNT ? rule_names[rule] : "none";
 }
 
-/* Explains a rule. */
 const char *
 ring_rule_help(enum ring_rule rule)
 {
     return rule < RULE_COUNT ? rule_help[rule] : "";
 }
 
-/* Reads a rule's name. */
 enum ring_rule
-ring_rule_from(const char *name)
+ring_rule_parse(const char *name)
 {
     int rule = 0;
 
--- a/status.c
+++ b/status.c
@@ -1,10 +1,9 @@
-/* Typed results: kinds, their names and their exit codes. */
+/* Names and exit codes of status kinds. */
 #include "status.h"
 
 #include <stdarg.h>
 #include <stdio.h>
 
-/* Records a kind and formats its message. */
 enum status_kind
 status_set(struct status *st, enum status_kind kind, const char *format, ...)
 {
@@ -17,7 +16,6 @@
     return kind;
 }
 
-/* Names a kind. */
 const char *
 status_name(enum status_kind kind)
 {
@@ -42,7 +40,6 @@
     return "unknown";
 }
 
-/* Maps a kind to the exit code that the README promises. */
 int
 status_exit_code(enum status_kind kind)
 {
--- a/tests/fleet-sim-net.c
+++ b/tests/fleet-sim-net.c
@@ -150,11 +150,12 @@
         sim->vote_wait_us = MAX(
             sim->vote_wait_us, sim->nodes[from].out_free_at - sim->now * 1000);
     }
-    if (bytes->len <= PART_MESSAGE_MAX) {
+    if (bytes->len <= FRAGMENT_UNSPLIT_MAX) {
         send_datagram(sim, from, to, bytes);
         return;
     }
-    parts = part_split(fleet_sim_random(sim, 0) | 1, bytes->data, bytes->len);
+    parts =
+        fragment_split(fleet_sim_random(sim, 0) | 1, bytes->data, bytes->len);
     for (guint i = 0; parts != NULL && i < parts->len; i++) {
         send_datagram(sim, from, to, g_ptr_array_index(parts, i));
     }
--- a/tests/fleet-sim.c
+++ b/tests/fleet-sim.c
@@ -48,7 +48,7 @@
 act_cons(struct fleet_sim *sim, int n, struct cons_action *action)
 {
     struct fleet_sim_node *node = &sim->nodes[n];
-    const struct cons *cons = &node->order.cons;
+    const struct cons *cons = &node->replica.cons;
     GByteArray *bytes;
 
     switch (action->kind) {
@@ -77,7 +77,7 @@
 
 /* Takes an answer to an operator. */
 static void
-take_reply(struct fleet_sim *sim, int n, const struct order_action *action)
+take_reply(struct fleet_sim *sim, int n, const struct replica_action *action)
 {
     uint64_t *wait = g_hash_table_lookup(sim->waiting, &action->token);
     uint64_t *order = g_hash_table_lookup(sim->halls_waiting, &action->token);
@@ -91,7 +91,7 @@
         return;
     }
     if (action->with_table) {
-        sim->read = sim->nodes[n].order.version;
+        sim->read = sim->nodes[n].replica.version;
         if (sim->read < version) {
             fleet_sim_note(
                 sim, "read %llu at %llu ms after %llu was acknowledged",
@@ -111,13 +111,13 @@
 {
     struct fleet_sim_node *node = &sim->nodes[n];
 
-    if (cons_last_index(&node->order.cons) > 0 ||
-        node->order.cons.leader != 0) {
+    if (cons_last_index(&node->replica.cons) > 0 ||
+        node->replica.cons.leader != 0) {
         return;
     }
     node->disk.identity = node->address;
     node->fleet.self.identity = node->address;
-    order_close(&node->order);
+    replica_close(&node->replica);
     start_order(sim, n);
 }
 
@@ -126,7 +126,7 @@
 tell_leader(struct fleet_sim *sim, int n)
 {
     struct fleet_sim_node *node = &sim->nodes[n];
-    const struct cons *cons = &node->order.cons;
+    const struct cons *cons = &node->replica.cons;
     bool leads = cons->role == CONS_LEADER && cons_is_ready(cons);
 
     if (leads || cons->role != CONS_LEADER) {
@@ -143,11 +143,11 @@
     const void *bytes;
     wire_command command;
 
-    (void)fleet_set_halls(&node->fleet, sim->now, &node->order.halls);
-    if (node->order.routes == NULL) {
+    (void)fleet_set_halls(&node->fleet, sim->now, &node->replica.halls);
+    if (node->replica.routes == NULL) {
         return;
     }
-    bytes = g_bytes_get_data(node->order.routes, &length);
+    bytes = g_bytes_get_data(node->replica.routes, &length);
     g_assert_true(codec_decode_command(bytes, length, &command));
     (void)fleet_set_routes(&node->fleet, sim->now,
                            &command.wire_command_u.routes);
@@ -160,24 +160,24 @@
 {
     struct fleet_sim_node *node = &sim->nodes[n];
     size_t count;
-    const struct order_action *all = order_actions(&node->order, &count);
+    const struct replica_action *all = replica_actions(&node->replica, &count);
 
     for (size_t i = 0; i < count; i++) {
-        struct order_action action = all[i];
+        struct replica_action action = all[i];
 
         switch (action.kind) {
-        case ORDER_CONS:
+        case REPLICA_CONS:
             act_cons(sim, n, &action.cons);
             break;
-        case ORDER_REPLY:
+        case REPLICA_REPLY:
             take_reply(sim, n, &action);
             break;
-        case ORDER_APPLY:
+        case REPLICA_APPLY:
             apply_order(sim, n);
             break;
         }
     }
-    order_clear(&node->order);
+    replica_clear(&node->replica);
     tell_leader(sim, n);
 }
 
@@ -197,8 +197,8 @@
             break;
         case FLEET_DISK:
             if (node->has_disk) {
-                order_hear(&node->order, sim->now, all[i].node.address,
-                           all[i].node.identity);
+                replica_update_disk(&node->replica, sim->now,
+                                    all[i].node.address, all[i].node.identity);
             }
             break;
         case FLEET_FOUND:
@@ -248,9 +248,9 @@
     struct cons_stored stored;
 
     sim_disk_load(&node->disk, &stored);
-    order_open(&node->order, sim->now, node->address, node->disk.identity,
-               node->disk.identity == node->address, fleet_sim_random(sim, 0),
-               &stored, &node->counters);
+    replica_open(&node->replica, sim->now, node->address, node->disk.identity,
+                 node->disk.identity == node->address,
+                 fleet_sim_random(sim, 0), &stored, &node->counters);
 }
 
 /* Starts a node. */
@@ -288,7 +288,7 @@
         if (node->kept != NULL) {
             g_assert_true(fleet_load(&node->fleet, sim->now, node->kept));
         }
-        config = cons_config(&node->order.cons);
+        config = cons_config(&node->replica.cons);
         for (u_int i = 0; i < config->voters.voters_len; i++) {
             fleet_add_contact(&node->fleet,
                               config->voters.voters_val[i].replica);
@@ -317,9 +317,9 @@
     }
     node->up = false;
     node->frozen_until = 0;
-    part_close(&node->parts);
+    fragment_close(&node->parts);
     if (node->has_disk) {
-        order_close(&node->order);
+        replica_close(&node->replica);
         forget_kept(node);
         node->kept = fleet_save(&node->fleet, sim->now);
     }
@@ -428,9 +428,9 @@
         const struct fleet_sim_node *node = &sim->nodes[i];
 
         if (fleet_sim_is_running(sim, i) && node->has_disk &&
-            cons_is_ready(&node->order.cons) &&
+            cons_is_ready(&node->replica.cons) &&
             (best < 0 ||
-             node->order.cons.term > sim->nodes[best].order.cons.term)) {
+             node->replica.cons.term > sim->nodes[best].replica.cons.term)) {
             best = i;
         }
     }
@@ -496,8 +496,8 @@
     routes.length = (u_int)strlen(text);
     routes.packed.packed_val = text;
     routes.packed.packed_len = routes.length;
-    order_submit(&sim->nodes[leader].order, sim->now,
-                 new_token(sim, sim->waiting, version), &routes);
+    replica_submit(&sim->nodes[leader].replica, sim->now,
+                   new_token(sim, sim->waiting, version), &routes);
     g_free(text);
     act(sim, leader);
 }
@@ -509,8 +509,8 @@
     int leader = serving(sim, n);
 
     if (leader >= 0) {
-        order_read(&sim->nodes[leader].order, sim->now,
-                   new_token(sim, sim->waiting, sim->acked));
+        replica_read(&sim->nodes[leader].replica, sim->now,
+                     new_token(sim, sim->waiting, sim->acked));
         act(sim, leader);
     }
 }
@@ -540,9 +540,9 @@
         return;
     }
     g_strlcpy(order.hall, hall, sizeof(order.hall));
-    order_submit_hall(&sim->nodes[leader].order, sim->now,
-                      new_token(sim, sim->halls_waiting, sim->halls_ordered),
-                      &order);
+    replica_submit_hall(&sim->nodes[leader].replica, sim->now,
+                        new_token(sim, sim->halls_waiting, sim->halls_ordered),
+                        &order);
     act(sim, leader);
 }
 
@@ -585,8 +585,8 @@
             continue;
         }
         count += leader < 0 ||
-                 held->revision != sim->nodes[leader].order.halls.revision ||
-                 held->count != sim->nodes[leader].order.halls.count;
+                 held->revision != sim->nodes[leader].replica.halls.revision ||
+                 held->count != sim->nodes[leader].replica.halls.count;
     }
     return count;
 }
@@ -667,7 +667,7 @@
 
     g_assert_true(codec_decode(bytes->data, bytes->len, &msg));
     if (msg.kind == WIRE_PART) {
-        whole = part_take(&node->parts, sim->now, &msg.wire_msg_u.part);
+        whole = fragment_receive(&node->parts, sim->now, &msg.wire_msg_u.part);
         if (whole != NULL) {
             fleet_sim_deliver(sim, to, whole);
             g_byte_array_unref(whole);
@@ -677,7 +677,7 @@
         fleet_receive(&node->fleet, sim->now, &msg);
     }
     else if (node->has_disk) {
-        order_receive(&node->order, sim->now, &msg);
+        replica_receive(&node->replica, sim->now, &msg);
     }
     codec_free(&msg);
     act(sim, to);
@@ -691,7 +691,7 @@
     uint64_t at =
         MIN(fleet_deadline(&node->fleet), upstream_deadline(&node->upstreams));
 
-    return node->has_disk ? MIN(at, order_deadline(&node->order)) : at;
+    return node->has_disk ? MIN(at, replica_deadline(&node->replica)) : at;
 }
 
 /* Notes a deadline that no tick meets: a loop would wake up for it again and
@@ -720,8 +720,8 @@
     upstream_tick(&node->upstreams, sim->now);
     evidence_tick(&node->evidence, sim->now);
     fleet_tick(&node->fleet, sim->now);
-    if (node->has_disk && sim->now >= order_deadline(&node->order)) {
-        order_tick(&node->order, sim->now);
+    if (node->has_disk && sim->now >= replica_deadline(&node->replica)) {
+        replica_tick(&node->replica, sim->now);
     }
     check_spin(sim, n);
     act(sim, n);
--- a/tests/fleet-sim.h
+++ b/tests/fleet-sim.h
@@ -31,8 +31,8 @@
     struct upstream_set upstreams;
     struct evidence evidence;
     struct fleet fleet;
-    struct order order;
-    struct part_box parts;
+    struct replica replica;
+    struct fragment_table parts;
     uint64_t version_seen;   /* in force in this run */
     unsigned ticks_late;     /* in a row that left a deadline in the past */
     uint64_t bytes_sent;     /* to other nodes */
--- a/tests/fuzz-input.c
+++ b/tests/fuzz-input.c
@@ -111,7 +111,8 @@
         route_free(route_decode(bytes + 1, size - 1));
         break;
     case READER_END:
-        (void)platform_read_end((const char *)bytes + 1, size - 1, &born, &st);
+        (void)platform_read_deregistration((const char *)bytes + 1, size - 1,
+                                           &born, &st);
         break;
     case READER_HALL:
         (void)hall_is_name(text);
--- a/tests/test-fleet.c
+++ b/tests/test-fleet.c
@@ -116,7 +116,7 @@
 static void
 wipe_follower(struct fleet_sim *sim, int leader)
 {
-    const wire_config *config = cons_config(&sim->nodes[leader].order.cons);
+    const wire_config *config = cons_config(&sim->nodes[leader].replica.cons);
 
     for (u_int i = 0; i < config->voters.voters_len; i++) {
         uint32_t replica = config->voters.voters_val[i].replica;
@@ -136,7 +136,7 @@
 static void
 power_off(struct fleet_sim *sim, int leader)
 {
-    const wire_config *config = cons_config(&sim->nodes[leader].order.cons);
+    const wire_config *config = cons_config(&sim->nodes[leader].replica.cons);
     u_int spare = (config->voters.voters_len - 1) / 2;
     uint32_t lost[CONS_REPLICAS_MAX];
 
@@ -282,7 +282,7 @@
     g_assert_cmpstr(sim->broken, ==, "");
     g_assert_cmpint(leader, >=, 0);
     g_assert_cmpuint(
-        cons_config(&sim->nodes[leader].order.cons)->voters.voters_len, ==,
+        cons_config(&sim->nodes[leader].replica.cons)->voters.voters_len, ==,
         scene->voters);
     for (int i = 0; i < sim->count; i++) {
         if (sim->nodes[i].up) {
@@ -480,51 +480,52 @@
 test_unanswered(void)
 {
     struct counters counters = {{0}};
-    struct order order;
+    struct replica replica;
     wire_routes routes = {.bundle_version = 2};
     GArray *tokens;
     size_t count;
 
-    order_open(&order, 1, 7, 7, true, 1, NULL, &counters);
-    order_tick(&order, 2);
-    order_clear(&order);
+    replica_open(&replica, 1, 7, 7, true, 1, NULL, &counters);
+    replica_tick(&replica, 2);
+    replica_clear(&replica);
     /* A founder alone is its own quorum: answered in the same batch. */
-    order_submit(&order, 2 + ORDER_SETTLE_MS, 41, &routes);
-    (void)order_actions(&order, &count);
+    replica_submit(&replica, 2 + REPLICA_JOIN_MS, 41, &routes);
+    (void)replica_actions(&replica, &count);
     g_assert_cmpuint(count, >, 0);
-    tokens = order_unanswered(&order, 0);
+    tokens = replica_unanswered_tokens(&replica, 0);
     g_assert_cmpuint(tokens->len, ==, 1);
     g_assert_cmpuint(g_array_index(tokens, uint64_t, 0), ==, 41);
     g_array_free(tokens, TRUE);
-    tokens = order_unanswered(&order, count);
+    tokens = replica_unanswered_tokens(&replica, count);
     g_assert_cmpuint(tokens->len, ==, 0);
     g_array_free(tokens, TRUE);
-    order_close(&order);
+    replica_close(&replica);
 }
 
 /* Carries out what a voter asks for as its thread does, on a disk; all that a
  * disk is told to store must still be in the log. */
 static void
-carry_out(struct order *order, struct sim_disk *disk)
+carry_out(struct replica *replica, struct sim_disk *disk)
 {
     size_t count;
-    const struct order_action *all = order_actions(order, &count);
+    const struct replica_action *all = replica_actions(replica, &count);
 
     for (size_t i = 0; i < count; i++) {
         const struct cons_action *action = &all[i].cons;
 
-        if (all[i].kind != ORDER_CONS) {
+        if (all[i].kind != REPLICA_CONS) {
             continue;
         }
         if (action->kind == CONS_SAVE_ENTRIES) {
-            g_assert_nonnull(cons_entry_at(&order->cons, action->index));
-            sim_disk_append(disk, &order->cons, action->index, action->count);
+            g_assert_nonnull(cons_entry_at(&replica->cons, action->index));
+            sim_disk_append(disk, &replica->cons, action->index,
+                            action->count);
         }
         else if (action->kind == CONS_SAVE_SNAPSHOT) {
-            sim_disk_snapshot(disk, &order->cons);
+            sim_disk_snapshot(disk, &replica->cons);
         }
     }
-    order_clear(order);
+    replica_clear(replica);
 }
 
 /* The voter's thread takes a job, lets time pass and only then stores entries:
@@ -536,30 +537,31 @@
 {
     struct counters counters = {{0}};
     struct sim_disk disk = {0};
-    struct order order;
+    struct replica replica;
     uint64_t now = 1;
 
     disk.log = g_array_new(FALSE, FALSE, sizeof(struct cons_entry));
-    order_open(&order, now, 7, 7, true, 1, NULL, &counters);
-    order_tick(&order, now);
-    carry_out(&order, &disk);
-    now += ORDER_SETTLE_MS;
-    for (uint64_t version = 1; version <= 3 * ORDER_COMPACT; version++) {
+    replica_open(&replica, now, 7, 7, true, 1, NULL, &counters);
+    replica_tick(&replica, now);
+    carry_out(&replica, &disk);
+    now += REPLICA_JOIN_MS;
+    for (uint64_t version = 1; version <= 3 * REPLICA_COMPACT_ENTRIES;
+         version++) {
         wire_routes routes = {.bundle_version = version};
 
-        order_submit(&order, now, version, &routes);
-        order_tick(&order, now);
-        carry_out(&order, &disk);
+        replica_submit(&replica, now, version, &routes);
+        replica_tick(&replica, now);
+        carry_out(&replica, &disk);
         if (version % 10 == 0) {
-            order_tick(&order, ++now);
-            carry_out(&order, &disk);
+            replica_tick(&replica, ++now);
+            carry_out(&replica, &disk);
         }
     }
-    g_assert_cmpuint(order.version, ==, 3 * ORDER_COMPACT);
-    g_assert_cmpuint(disk.snapshot.index, >, ORDER_COMPACT);
+    g_assert_cmpuint(replica.version, ==, 3 * REPLICA_COMPACT_ENTRIES);
+    g_assert_cmpuint(disk.snapshot.index, >, REPLICA_COMPACT_ENTRIES);
     g_assert_cmpuint(disk.snapshot.index + disk.log->len, ==,
-                     cons_last_index(&order.cons));
-    order_close(&order);
+                     cons_last_index(&replica.cons));
+    replica_close(&replica);
     sim_disk_wipe(&disk);
     g_array_free(disk.log, TRUE);
 }
--- a/tests/test-hall.c
+++ b/tests/test-hall.c
@@ -186,7 +186,7 @@
     {"none-emptied", "", "", false, 1, 1, RULE_LEAST_WORK, 0},
     {"first-hall", "a", "", false, 2, 2, RULE_LEAST_WORK, 1},
     {"second-hall", "b", "", false, 1, 1, RULE_LEAST_WORK, 1},
-    {"both", "ab", "", false, 0, 0, RULE_HALL_EMPTIED, 2},
+    {"both", "ab", "", false, 0, 0, RULE_HALLS_DRAINED, 2},
     {"another-one", "c", "", false, 1, 1, RULE_LEAST_WORK, 0},
     {"taken-back", "aA", "", false, 1, 1, RULE_LEAST_WORK, 0},
     {"copy-leaves-the-hall", "", "a", false, 1, 2, RULE_LEAST_WORK, 0},
@@ -292,12 +292,12 @@
     {"open-hall", RULE_LEAST_WORK, "b", "b", 1, EVIDENCE_PROVED},
     {"emptied-hall", RULE_LEAST_WORK, "a", "a", 1, EVIDENCE_DISPROVED},
     {"emptied-since", RULE_LEAST_WORK, "", "a", 1, EVIDENCE_PROVED},
-    {"moved-off-to-an-emptied-hall", RULE_MOVED_OFF, "a", "a", 1,
+    {"moved-off-to-an-emptied-hall", RULE_REROUTED, "a", "a", 1,
      EVIDENCE_DISPROVED},
-    {"refused", RULE_HALL_EMPTIED, "ab", "ab", 0, EVIDENCE_PROVED},
-    {"refused-though-open", RULE_HALL_EMPTIED, "c", "c", 0,
+    {"refused", RULE_HALLS_DRAINED, "ab", "ab", 0, EVIDENCE_PROVED},
+    {"refused-though-open", RULE_HALLS_DRAINED, "c", "c", 0,
      EVIDENCE_DISPROVED},
-    {"refused-and-taken-back", RULE_HALL_EMPTIED, "ab", "abA", 0,
+    {"refused-and-taken-back", RULE_HALLS_DRAINED, "ab", "abA", 0,
      EVIDENCE_OTHER_HALLS},
 };
 
@@ -359,20 +359,20 @@
     char *path = copy_folder();
     struct cons_stored stored;
     struct store store;
-    struct order voter;
+    struct replica voter;
     uint64_t now = 1;
 
     g_assert_cmpint(store_open(&store, path, STORE_TAIL_TORN, &stored, &st),
                     ==, STATUS_OK);
-    order_open(&voter, now, OLD_REPLICA, store.identity, true, 1, &stored,
-               &counters);
-    now = order_deadline(&voter);
-    order_tick(&voter, now);
+    replica_open(&voter, now, OLD_REPLICA, store.identity, true, 1, &stored,
+                 &counters);
+    now = replica_deadline(&voter);
+    replica_tick(&voter, now);
     g_assert_cmpuint(voter.version, ==, OLD_VERSION);
     g_assert_cmpuint(voter.halls.revision, ==, 0);
-    order_submit_hall(&voter, now + ORDER_SETTLE_MS, 1, &order);
+    replica_submit_hall(&voter, now + REPLICA_JOIN_MS, 1, &order);
     g_assert_true(hall_is_drained(&voter.halls, "west"));
-    order_close(&voter);
+    replica_close(&voter);
     store_close(&store);
     g_free(path);
 }
@@ -383,33 +383,33 @@
 {
     struct counters counters = {{0}};
     struct cons_stored stored = {0};
-    struct order voter;
-    struct order next;
+    struct replica voter;
+    struct replica next;
     uint64_t now = 1;
 
-    order_open(&voter, now, 7, 7, true, 1, NULL, &counters);
-    order_tick(&voter, now);
-    now += ORDER_SETTLE_MS;
-    for (uint64_t i = 1; i <= ORDER_COMPACT; i++) {
+    replica_open(&voter, now, 7, 7, true, 1, NULL, &counters);
+    replica_tick(&voter, now);
+    now += REPLICA_JOIN_MS;
+    for (uint64_t i = 1; i <= REPLICA_COMPACT_ENTRIES; i++) {
         wire_routes routes = {.bundle_version = i};
         struct hall_order order = {.hall = "west", .drained = i % 2 == 0};
 
-        order_submit(&voter, now, i, &routes);
-        order_submit_hall(&voter, now, i, &order);
-        order_clear(&voter);
-        order_tick(&voter, ++now);
-        order_clear(&voter);
+        replica_submit(&voter, now, i, &routes);
+        replica_submit_hall(&voter, now, i, &order);
+        replica_clear(&voter);
+        replica_tick(&voter, ++now);
+        replica_clear(&voter);
     }
     g_assert_cmpuint(voter.cons.snapshot.index, >, 0);
     sim_copy_snapshot(&voter.cons.snapshot, &stored.snapshot);
     stored.term = voter.cons.term;
     stored.log = g_array_new(FALSE, FALSE, sizeof(struct cons_entry));
-    order_open(&next, now, 7, 7, true, 1, &stored, &counters);
-    g_assert_cmpuint(next.version, >=, ORDER_COMPACT / 2);
+    replica_open(&next, now, 7, 7, true, 1, &stored, &counters);
+    g_assert_cmpuint(next.version, >=, REPLICA_COMPACT_ENTRIES / 2);
     g_assert_cmpuint(next.halls.revision, >, 0);
     g_assert_cmpuint(next.halls.revision, <=, next.cons.snapshot.index);
-    order_close(&voter);
-    order_close(&next);
+    replica_close(&voter);
+    replica_close(&next);
 }
 
 /* Operators who empty more halls than there is room for are refused; those who
@@ -418,27 +418,27 @@
 test_room(void)
 {
     struct counters counters = {{0}};
-    struct order voter;
-    uint64_t now = ORDER_SETTLE_MS + 1;
+    struct replica voter;
+    uint64_t now = REPLICA_JOIN_MS + 1;
     size_t count;
 
-    order_open(&voter, 1, 7, 7, true, 1, NULL, &counters);
-    order_tick(&voter, 1);
+    replica_open(&voter, 1, 7, 7, true, 1, NULL, &counters);
+    replica_tick(&voter, 1);
     for (uint64_t i = 0; i <= HALL_MAX + 1; i++) {
         struct hall_order order = {.drained = true};
-        const struct order_action *last;
+        const struct replica_action *last;
 
-        order_clear(&voter);
+        replica_clear(&voter);
         (void)snprintf(order.hall, sizeof(order.hall), "hall-%u",
                        (unsigned)(i <= HALL_MAX ? i : 0));
-        order_submit_hall(&voter, now, i + 1, &order);
-        last = order_actions(&voter, &count) + count - 1;
-        g_assert_cmpint(last->kind, ==, ORDER_REPLY);
+        replica_submit_hall(&voter, now, i + 1, &order);
+        last = replica_actions(&voter, &count) + count - 1;
+        g_assert_cmpint(last->kind, ==, REPLICA_REPLY);
         g_assert_cmpint(last->status.kind, ==,
                         i == HALL_MAX ? STATUS_REFUSED : STATUS_OK);
     }
     g_assert_cmpuint(voter.halls.count, ==, HALL_MAX);
-    order_close(&voter);
+    replica_close(&voter);
 }
 
 /* What is left out, and a test above that must fail then. */
--- a/tests/test-input.c
+++ b/tests/test-input.c
@@ -294,9 +294,9 @@
 {
     size_t header = protocol == PACKET_TCP ? 20 : 8;
     size_t total = 20 + header + 11;
-    uint8_t *ip = out + PACKET_GENEVE;
+    uint8_t *ip = out + PACKET_GENEVE_BYTES;
 
-    memset(out, 0, PACKET_GENEVE + total);
+    memset(out, 0, PACKET_GENEVE_BYTES + total);
     out[2] = 0x08;
     ip[0] = 0x45;
     ip[3] = (uint8_t)total;
@@ -309,7 +309,7 @@
     }
     memcpy(ip + 20 + header, "odd payload", 11);
     packet_fill_checksums(ip, total);
-    return PACKET_GENEVE + total;
+    return PACKET_GENEVE_BYTES + total;
 }
 
 /* Rewriting keeps both checksums right, and the wrap of a handed packet
@@ -323,23 +323,23 @@
         uint8_t buffer[PACKET_HEADROOM + 256];
         uint8_t *bytes = buffer + PACKET_HEADROOM;
         size_t length = build_packet(bytes, protocols[i % 2]);
-        struct packet_handed hand = {
+        struct packet_forwarding hand = {
             .origin = i * 77ULL, .position = 2, .hops = 1, .asked = {5, 6}};
         struct packet packet;
         struct packet again;
         uint8_t *at;
 
         g_assert_true(packet_parse(bytes, length, &packet));
-        g_assert_true(packet_check(packet.ip, packet.length));
+        g_assert_true(packet_checksums_valid(packet.ip, packet.length));
         packet_set_destination(&packet, i * 2654435761U, (uint16_t)(i * 31));
         packet_set_source(&packet, i * 40503U, (uint16_t)(i * 7));
-        g_assert_true(packet_check(packet.ip, packet.length));
-        at = packet_wrap(&packet, &hand, &length);
+        g_assert_true(packet_checksums_valid(packet.ip, packet.length));
+        at = packet_encapsulate(&packet, &hand, &length);
         g_assert_true(packet_parse(at, length, &again));
         g_assert_true(again.handed);
-        g_assert_cmpuint(again.hand.origin, ==, hand.origin);
-        g_assert_cmpuint(again.hand.position, ==, 2);
-        g_assert_cmpuint(again.hand.asked[1], ==, 6);
+        g_assert_cmpuint(again.forwarding.origin, ==, hand.origin);
+        g_assert_cmpuint(again.forwarding.position, ==, 2);
+        g_assert_cmpuint(again.forwarding.asked[1], ==, 6);
     }
 }
 
--- a/tests/test-loop.c
+++ b/tests/test-loop.c
@@ -75,7 +75,7 @@
     struct fixture f = {.c = data};
 
     loop_open_idle(tick, &f);
-    loop_on_late(count_late, &f, LATE_MS);
+    loop_on_stall(count_late, &f, LATE_MS);
     loop_wake_at(loop_now());
     loop_run();
     g_assert_cmpuint(f.ticks, ==, 2);
@@ -111,7 +111,7 @@
     struct pair pair = {.called = 0};
 
     loop_open_idle(tick, &pair.f);
-    loop_on_late(count_late, &pair.f, LATE_MS);
+    loop_on_stall(count_late, &pair.f, LATE_MS);
     for (int i = 0; i < 2; i++) {
         g_assert_cmpint(pipe(pair.fds[i]), ==, 0);
         g_assert_cmpint(write(pair.fds[i][1], "x", 1), ==, 1);
--- a/tests/test-platform.c
+++ b/tests/test-platform.c
@@ -23,7 +23,7 @@
 test_packet(void)
 {
     struct evidence_packet packet;
-    uint8_t reset[PLATFORM_HEAD_BYTES];
+    uint8_t reset[PLATFORM_HEADER_BYTES];
     uint8_t copy[sizeof(example)];
 
     g_assert_true(platform_read_packet(example, sizeof(example), &packet));
@@ -36,7 +36,7 @@
     g_assert_cmpmem(reset, sizeof(reset), example_reset,
                     sizeof(example_reset));
     memcpy(copy, example, sizeof(copy));
-    platform_mark_packet(copy, 0xa1b2c3d4);
+    platform_write_token(copy, 0xa1b2c3d4);
     g_assert_true(platform_read_packet(copy, sizeof(copy), &packet));
     g_assert_cmphex(packet.token, ==, 0xa1b2c3d4);
     for (size_t length = 0; length < sizeof(example); length++) {
@@ -515,7 +515,7 @@
 {
     const struct call_case *c = data;
     const char *rest = "";
-    enum platform_call call = platform_classify(c->method, c->path, &rest);
+    enum platform_request call = platform_classify(c->method, c->path, &rest);
 
     g_assert_cmpint(call != PLATFORM_UNKNOWN, ==, c->served);
 }
@@ -562,7 +562,7 @@
         uint64_t born;
 
         (void)platform_read_registration("i-1", bytes, length, &r, &st);
-        (void)platform_read_end(bytes, length, &born, &st);
+        (void)platform_read_deregistration(bytes, length, &born, &st);
         route_free(platform_read_table(bytes, length, &st));
         (void)platform_read_packet((const uint8_t *)bytes, length, &packet);
         if (codec_decode(bytes, length / 4 * 4, &msg)) {
@@ -601,7 +601,7 @@
     struct status st = {STATUS_OK, ""};
     uint64_t born;
     enum status_kind kind =
-        platform_read_end(c->body, strlen(c->body), &born, &st);
+        platform_read_deregistration(c->body, strlen(c->body), &born, &st);
 
     g_assert_cmpint(kind == STATUS_OK, ==, c->valid);
     if (c->valid) {
--- a/tests/test-reach.c
+++ b/tests/test-reach.c
@@ -186,7 +186,7 @@
     verdict = steer(&f, NOW + 10, 8, 0, 0);
     g_assert_cmpuint(verdict.upstream->id, ==, 3);
     verdict = steer(&f, NOW + 210, 8, 0, 1);
-    g_assert_cmpint(verdict.rule, ==, RULE_MOVED_OFF);
+    g_assert_cmpint(verdict.rule, ==, RULE_REROUTED);
     g_assert_cmpstr(verdict.upstream->hall, !=, "b");
     g_assert_false(verdict.via_relay);
     verdict = steer(&f, NOW + 220, 7, 4, 2);
--- a/tests/test-table.c
+++ b/tests/test-table.c
@@ -134,7 +134,7 @@
         fleet_sim_start(sim, wiped);
         fleet_sim_run(sim, sim->now + HEAL_MS);
         lost = fleet_sim_leader(sim);
-        g_assert_true(cons_is_voter(&sim->nodes[lost].order.cons,
+        g_assert_true(cons_is_voter(&sim->nodes[lost].replica.cons,
                                     sim->nodes[wiped].address,
                                     sim->nodes[wiped].disk.identity));
         fleet_sim_kill(sim, follower(sim, wiped));
@@ -228,7 +228,7 @@
     put(sim, 3, 3);
     fleet_sim_run(sim, sim->now + HEAL_MS);
     g_assert_cmpuint(fleet_sim_lowest_version(sim), ==, 3);
-    g_assert_cmpuint(sim->nodes[wiped].order.version, ==, 3);
+    g_assert_cmpuint(sim->nodes[wiped].replica.version, ==, 3);
     g_assert_cmpstr(sim->broken, ==, "");
     fleet_sim_free(sim);
 }
@@ -394,7 +394,7 @@
 {
     const struct arrivals *a = data;
     GByteArray *bytes = g_byte_array_new();
-    struct part_box box = {0};
+    struct fragment_table box = {0};
     GByteArray *whole = NULL;
     uint64_t now = 1;
     GPtrArray *parts;
@@ -403,7 +403,7 @@
     for (guint i = 0; i < bytes->len; i++) {
         bytes->data[i] = (guint8)(i * 7 + i / 4096);
     }
-    parts = part_split(77, bytes->data, bytes->len);
+    parts = fragment_split(77, bytes->data, bytes->len);
     g_assert_cmpuint(parts->len, ==, 3);
     for (const char *place = a->places; *place != '\0'; place++) {
         const GByteArray *part = g_ptr_array_index(
@@ -411,13 +411,13 @@
         wire_msg msg;
 
         if (*place == '.') {
-            now += PART_WAIT_MS;
+            now += FRAGMENT_TIMEOUT_MS;
             continue;
         }
         g_assert_null(whole);
         g_assert_true(codec_decode(part->data, part->len, &msg));
         msg.wire_msg_u.part.message += *place == 'x';
-        whole = part_take(&box, now, &msg.wire_msg_u.part);
+        whole = fragment_receive(&box, now, &msg.wire_msg_u.part);
         codec_free(&msg);
     }
     g_assert_cmpint(whole != NULL, ==, a->whole);
@@ -425,7 +425,7 @@
         g_assert_cmpmem(whole->data, whole->len, bytes->data, bytes->len);
         g_byte_array_unref(whole);
     }
-    part_close(&box);
+    fragment_close(&box);
     g_ptr_array_unref(parts);
     g_byte_array_unref(bytes);
 }
@@ -437,16 +437,16 @@
     static const wire_part bad[] = {
         {.message = 0, .place = 0, .count = 1},
         {.message = 1, .place = 1, .count = 1},
-        {.message = 1, .place = 0, .count = PART_COUNT_MAX + 1},
+        {.message = 1, .place = 0, .count = FRAGMENT_COUNT_MAX + 1},
         {.message = 1, .place = 0, .count = 0},
     };
-    struct part_box box = {0};
+    struct fragment_table box = {0};
 
     for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
-        g_assert_null(part_take(&box, 1, &bad[i]));
+        g_assert_null(fragment_receive(&box, 1, &bad[i]));
     }
-    for (size_t i = 0; i < PART_OPEN_MAX; i++) {
-        g_assert_cmpuint(box.open[i].message, ==, 0);
+    for (size_t i = 0; i < FRAGMENT_BUFFERS_MAX; i++) {
+        g_assert_cmpuint(box.buffers[i].message, ==, 0);
     }
 }
 
@@ -496,7 +496,7 @@
 
     put(sim, 1, 1);
     fleet_sim_run(sim, sim->now + HEAL_MS);
-    term = sim->nodes[fleet_sim_leader(sim)].order.cons.term;
+    term = sim->nodes[fleet_sim_leader(sim)].replica.cons.term;
     before = copies_sent(sim);
     sim->vote_wait_us = 0;
     sim->options.loss = c->loss;
@@ -522,7 +522,7 @@
                      COPIES_MAX * (uint64_t)c->nodes *
                          (c->count + c->kill_all));
     g_assert_cmpint(fleet_sim_leader(sim), >=, 0);
-    g_assert_cmpuint(sim->nodes[fleet_sim_leader(sim)].order.cons.term, ==,
+    g_assert_cmpuint(sim->nodes[fleet_sim_leader(sim)].replica.cons.term, ==,
                      term);
     g_assert_cmpstr(sim->broken, ==, "");
     fleet_sim_free(sim);
--- a/tests/test-warmup.c
+++ b/tests/test-warmup.c
@@ -282,7 +282,7 @@
     open_nodes(&all);
     evidence_steer(&nodes[0].ev, NOW, &packet, &verdict);
     g_assert_cmpint(verdict.action, ==, EVIDENCE_REFUSE);
-    g_assert_cmpint(verdict.rule, ==, RULE_ALL_COLD);
+    g_assert_cmpint(verdict.rule, ==, RULE_ALL_WARMING_UP);
     g_assert_cmpuint(verdict.warming, ==, 4);
     evidence_steer(&nodes[0].ev, NOW + COLD_MS, &packet, &verdict);
     g_assert_cmpint(verdict.action, ==, EVIDENCE_FORWARD);
--- a/tools/bench-forward.c
+++ b/tools/bench-forward.c
@@ -107,7 +107,7 @@
     ip[32] = 0x50;
     ip[33] = 0x10;
     packet_fill_checksums(ip, total);
-    return packet_wrap(&packet, NULL, length);
+    return packet_encapsulate(&packet, NULL, length);
 }
 
 /* Sends packets for a time; returns how many. */
--- a/tools/soak/host.c
+++ b/tools/soak/host.c
@@ -250,19 +250,19 @@
 answer(const struct host *host, const struct evidence_packet *p,
        uint32_t number, uint8_t flags, uint16_t length)
 {
-    uint8_t out[PLATFORM_HEAD_BYTES + PLATFORM_DATA_MAX] = {0};
-    struct platform_head head = {.source = p->destination,
-                                 .source_port = p->destination_port,
-                                 .destination = p->source,
-                                 .destination_port = p->source_port,
-                                 .token = p->token,
-                                 .acknowledged = number,
-                                 .length = length,
-                                 .flags = flags};
-
-    platform_write_head(&head, out);
+    uint8_t out[PLATFORM_HEADER_BYTES + PLATFORM_DATA_MAX] = {0};
+    struct platform_header head = {.source = p->destination,
+                                   .source_port = p->destination_port,
+                                   .destination = p->source,
+                                   .destination_port = p->source_port,
+                                   .token = p->token,
+                                   .acknowledged = number,
+                                   .length = length,
+                                   .flags = flags};
+
+    platform_write_header(&head, out);
     send_to(host->fd, p->source, world.packet_port, out,
-            PLATFORM_HEAD_BYTES + length);
+            PLATFORM_HEADER_BYTES + length);
 }
 
 /* Checks that a host whose hall is emptied gets no new flow. */
@@ -453,20 +453,20 @@
 send_flow(const struct flow *flow, uint8_t flags, uint32_t ack,
           uint16_t length)
 {
-    uint8_t out[PLATFORM_HEAD_BYTES + PLATFORM_DATA_MAX] = {0};
-    struct platform_head head = {.source = world.callers,
-                                 .source_port = flow->port,
-                                 .destination = flow->route,
-                                 .destination_port = ROUTE_PORT,
-                                 .token =
-                                     (flags & FLAG_SYN) != 0 ? 0 : flow->token,
-                                 .acknowledged = ack,
-                                 .length = length,
-                                 .flags = flags};
-
-    platform_write_head(&head, out);
+    uint8_t out[PLATFORM_HEADER_BYTES + PLATFORM_DATA_MAX] = {0};
+    struct platform_header head = {
+        .source = world.callers,
+        .source_port = flow->port,
+        .destination = flow->route,
+        .destination_port = ROUTE_PORT,
+        .token = (flags & FLAG_SYN) != 0 ? 0 : flow->token,
+        .acknowledged = ack,
+        .length = length,
+        .flags = flags};
+
+    platform_write_header(&head, out);
     send_to(world.caller_fd, soak_ask_route(flow->port * 2654435761U),
-            world.packet_port, out, PLATFORM_HEAD_BYTES + length);
+            world.packet_port, out, PLATFORM_HEADER_BYTES + length);
 }
 
 /* Opens a flow anew, from a new port. */
--- a/tools/standin-caller.c
+++ b/tools/standin-caller.c
@@ -110,7 +110,7 @@
         put16(ip + 24, (unsigned)(header + PAYLOAD));
     }
     packet_fill_checksums(ip, total);
-    at = packet_wrap(&packet, NULL, &length);
+    at = packet_encapsulate(&packet, NULL, &length);
     (void)sendto(caller.fd, at, length, 0, (struct sockaddr *)&caller.fabric,
                  sizeof(caller.fabric));
     caller.sent++;
@@ -156,7 +156,7 @@
 
     if (!packet_parse(bytes, length, &packet) ||
         packet.source != caller.service || packet.source_port != caller.port ||
-        !packet_check(packet.ip, packet.length)) {
+        !packet_checksums_valid(packet.ip, packet.length)) {
         caller.corrupt++;
         return;
     }
--- a/tools/standin-upstream.c
+++ b/tools/standin-upstream.c
@@ -75,7 +75,7 @@
     uint8_t *at;
 
     packet_fill_checksums(packet->ip, packet->length);
-    at = packet_wrap(packet, NULL, &length);
+    at = packet_encapsulate(packet, NULL, &length);
     (void)sendto(self.fd, at, length, 0, (struct sockaddr *)&self.fabric,
                  sizeof(self.fabric));
 }
@@ -130,7 +130,7 @@
     }
     if (packet.destination_port != self.flow_port ||
         packet.destination != self.address ||
-        !packet_check(packet.ip, packet.length)) {
+        !packet_checksums_valid(packet.ip, packet.length)) {
         self.misdelivered++;
         return;
     }
