--- a/fleet-deliver.c
+++ b/fleet-deliver.c
@@ -1,7 +1,6 @@
 /*
- * Changes of upstreams that are owed to nodes: each is sent until the node has
- * acknowledged it, at a pace that this node's link bears. A relay that does
- * not answer is replaced by the next one.
+ * Reliable delivery of upstream changes: retransmission until acknowledged,
+ * paced to this node's link, with failover to another relay.
  */
 #include "fleet-internal.h"
 
@@ -10,49 +9,41 @@
 #include "codec.h"
 #include "fault.h"
 
-/* A message is sent again when no acknowledgement came so long after it: the
- * way there and back takes 6 ms between halls, and both ends may have a queue
- * of 40 ms before it. */
+/* Retransmission timeout to a node that does not relay; doubles per try. */
 #define RESEND_MS 100U
-/* A message to a relay sooner, since all of its hall wait for it; one that is
- * late for its queues alone is told from the first by its number. */
+/* Retransmission timeout to a relay: shorter, as its whole hall waits.
+ * Receivers detect duplicates by sequence number. */
 #define RELAY_RESEND_MS 70U
-/* So many times a message is sent to one relay: where links lose 5%, one that
- * lives is taken for dead once in a thousand, and 0.2 s pass before one that
- * is dead is replaced. */
-#define RELAY_TRIES 3U
-/* Relays that are tried for a message before it is given up. */
-#define RELAYS_TRIED 4U
-/* So many times it is sent to a node that passes nothing on, after 0.1, 0.2
- * and 0.4 s again: where links lose 5%, all are lost once in 160,000. */
-#define NODE_TRIES 4U
-/* Changes are owed for so long; then all who differ have found them by
- * comparing inventories, and sending them once more fills links for nothing.
- * What a node heard itself it hands to a relay however long that takes. */
-#define OWED_MS 2000U
-/* A node that has just begun is not asked to relay for so long: it knows the
- * members soon after a leader knows it. */
-#define BEGINS_MS 300U
-/* A node that did not answer is not sent any more, nor asked to relay, for so
- * long: it is down, frozen or cut off. */
-#define MUTE_MS 2000U
-/* Messages leave in turns that the link takes so long for. */
-#define TURN_MS 10U
-/* Records in one message, and bytes of one: 22 ms of a link of 2 Mbit/s. */
-#define RECORDS 80U
+/* Transmissions to one relay before failover to the next. */
+#define RELAY_TRIES_MAX 3U
+/* Relays tried per message. */
+#define RELAYS_MAX 4U
+/* Transmissions to a node that does not relay. */
+#define NODE_TRIES_MAX 4U
+/* By then, anti-entropy comparisons have repaired the difference. Own changes
+ * are requeued instead. */
+#define DELIVERY_TIMEOUT_MS 2000U
+/* A node with an incomplete member list is not used as a relay for this long.
+ */
+#define RELAY_NOT_READY_MS 300U
+/* A node without acknowledgement is skipped for this long. */
+#define UNRESPONSIVE_MS 2000U
+/* Messages are sent in bursts of this much link time. */
+#define PACING_BURST_MS 10U
+/* Limits a message to 22 ms on a link of 2 Mbit/s. */
+#define RECORDS_PER_MESSAGE 80U
 #define RECORD_BYTES 70U
-/* Bytes of a datagram's heads: IP, UDP, our checksum and the message's own. */
-#define HEAD_BYTES 68U
+/* IP, UDP, checksum and message headers. */
+#define HEADER_BYTES 68U
 
-/* Changes that are owed together. */
+/* Changes that share messages; reference-counted by their deliveries. */
 struct fleet_batch {
     uint64_t number;
     uint64_t *ids;
     guint count;
-    GByteArray *to_node; /* encoded for those that pass nothing on */
+    GByteArray *node_message; /* cached encoding for nodes that do not relay */
 };
 
-/* Opens the list of what is owed. */
 void
 fleet_deliver_open(struct fleet *fleet)
 {
@@ -61,55 +52,51 @@
     fleet->relay.due_at = UINT64_MAX;
 }
 
-/* Frees what a batch holds. */
 static void
 clear_batch(gpointer data)
 {
     struct fleet_batch *batch = data;
 
     g_free(batch->ids);
-    g_clear_pointer(&batch->to_node, g_byte_array_unref);
+    g_clear_pointer(&batch->node_message, g_byte_array_unref);
 }
 
-/* Lets go of a batch. */
 static void
-release(struct fleet_batch *batch)
+unref_batch(struct fleet_batch *batch)
 {
     g_rc_box_release_full(batch, clear_batch);
 }
 
-/* Frees the list. */
 void
 fleet_deliver_close(struct fleet *fleet)
 {
     GArray *all = fleet->relay.deliveries;
 
     for (guint i = 0; i < all->len; i++) {
-        release(g_array_index(all, struct fleet_delivery, i).batch);
+        unref_batch(g_array_index(all, struct fleet_delivery, i).batch);
     }
     g_array_free(all, TRUE);
 }
 
-/* Makes a batch. */
 static struct fleet_batch *
 new_batch(struct fleet *fleet, const uint64_t *ids, guint count)
 {
     struct fleet_batch *batch = g_rc_box_new0(struct fleet_batch);
 
-    batch->number = ++fleet->relay.number;
+    batch->number = ++fleet->relay.last_number;
     batch->ids = g_memdup2(ids, count * sizeof(*ids));
     batch->count = count;
     return batch;
 }
 
-/* Bytes that the link takes for a message of so many records. */
 uint64_t
-fleet_deliver_bytes(guint count)
+fleet_deliver_message_bytes(guint count)
 {
-    return HEAD_BYTES + (uint64_t)MIN(count, RECORDS) * RECORD_BYTES;
+    return HEADER_BYTES +
+           (uint64_t)MIN(count, RECORDS_PER_MESSAGE) * RECORD_BYTES;
 }
 
-/* What is owed as a message: what is believed now of its upstreams. */
+/* Encodes the current records of a delivery's upstreams. */
 static GByteArray *
 encode(const struct fleet *fleet, uint64_t now,
        const struct fleet_delivery *delivery)
@@ -139,76 +126,73 @@
     return bytes;
 }
 
-/* The same; encoded once for all nodes that pass nothing on. */
+/* Nodes that do not relay all receive the same bytes. */
 static GByteArray *
-encode_once(const struct fleet *fleet, uint64_t now,
-            const struct fleet_delivery *delivery)
+encode_cached(const struct fleet *fleet, uint64_t now,
+              const struct fleet_delivery *delivery)
 {
     struct fleet_batch *batch = delivery->batch;
 
     if (delivery->reach != WIRE_REACH_NODE) {
         return encode(fleet, now, delivery);
     }
-    if (batch->to_node == NULL) {
-        batch->to_node = encode(fleet, now, delivery);
+    if (batch->node_message == NULL) {
+        batch->node_message = encode(fleet, now, delivery);
     }
-    return g_byte_array_ref(batch->to_node);
+    return g_byte_array_ref(batch->node_message);
 }
 
-/* Adds what is owed to one node. */
 static void
-owe(struct fleet *fleet, uint64_t now, struct fleet_batch *batch,
-    struct fleet_delivery delivery)
+enqueue(struct fleet *fleet, uint64_t now, struct fleet_batch *batch,
+        struct fleet_delivery delivery)
 {
     delivery.batch = g_rc_box_acquire(batch);
-    delivery.at = now;
-    delivery.until = now + OWED_MS;
+    delivery.send_at = now;
+    delivery.expires_at = now + DELIVERY_TIMEOUT_MS;
     fleet->relay.unsent++;
     g_array_append_val(fleet->relay.deliveries, delivery);
     fleet->relay.due_at = MIN(fleet->relay.due_at, now);
 }
 
-/* Owes changes to the relay of a range. */
 void
 fleet_deliver_to_relay(struct fleet *fleet, uint64_t now, uint32_t to,
                        const struct fleet_range *range, wire_reach reach,
                        const uint64_t *ids, guint count)
 {
-    for (guint at = 0; at < count; at += RECORDS) {
+    for (guint at = 0; at < count; at += RECORDS_PER_MESSAGE) {
         struct fleet_batch *batch =
-            new_batch(fleet, ids + at, MIN(count - at, RECORDS));
+            new_batch(fleet, ids + at, MIN(count - at, RECORDS_PER_MESSAGE));
 
-        owe(fleet, now, batch,
-            (struct fleet_delivery){
-                .to = to, .range = *range, .reach = reach});
-        release(batch);
+        enqueue(fleet, now, batch,
+                (struct fleet_delivery){
+                    .to = to, .range = *range, .reach = reach});
+        unref_batch(batch);
     }
 }
 
-/* Owes changes to nodes that pass nothing on. */
 void
 fleet_deliver_to_nodes(struct fleet *fleet, uint64_t now, const uint32_t *to,
                        guint nodes, const uint64_t *ids, guint count)
 {
-    for (guint at = 0; at < count; at += RECORDS) {
+    for (guint at = 0; at < count; at += RECORDS_PER_MESSAGE) {
         struct fleet_batch *batch =
-            new_batch(fleet, ids + at, MIN(count - at, RECORDS));
+            new_batch(fleet, ids + at, MIN(count - at, RECORDS_PER_MESSAGE));
 
         for (guint i = 0; i < nodes; i++) {
-            owe(fleet, now, batch,
-                (struct fleet_delivery){.to = to[i],
-                                        .reach = WIRE_REACH_NODE});
+            enqueue(fleet, now, batch,
+                    (struct fleet_delivery){.to = to[i],
+                                            .reach = WIRE_REACH_NODE});
         }
-        release(batch);
+        unref_batch(batch);
     }
 }
 
-/* Turns to the next relay; false when there is none left. */
+/* Fails over to another relay; false when none is left. */
 static bool
-next_relay(struct fleet *fleet, uint64_t now, struct fleet_delivery *d)
+try_next_relay(struct fleet *fleet, uint64_t now, struct fleet_delivery *d)
 {
-    uint32_t to = d->relays + 1 < RELAYS_TRIED
-                      ? fleet_relay_of(fleet, now, &d->range, d->reach)
+    uint32_t to = d->relays_tried + 1 < RELAYS_MAX
+                      ? fleet_choose_relay(fleet, now, &d->range, d->reach)
                       : 0;
 
     if (to == 0 || to == fleet->self.address) {
@@ -217,39 +201,38 @@
     fleet->relay.unsent += d->tries > 0;
     d->to = to;
     d->tries = 0;
-    d->relays++;
-    d->at = now;
+    d->relays_tried++;
+    d->send_at = now;
     return true;
 }
 
-/* Gives a delivery up. This node's own changes wait for another relay, which
- * may be this node; others are found by comparisons. */
+/* Requeues own changes for another relay; relayed changes are left to
+ * anti-entropy comparisons. */
 static void
 give_up(struct fleet *fleet, uint64_t now, const struct fleet_delivery *d)
 {
     fleet->relay.unsent -= d->tries == 0;
     if (d->reach == WIRE_REACH_FLEET) {
-        fleet_relay_hold(fleet, now, d->batch->ids, d->batch->count);
+        fleet_relay_requeue(fleet, now, d->batch->ids, d->batch->count);
     }
 }
 
-/* Says whether a node is not worth sending to: it is no member, or did not
- * answer lately. */
+/* Also true for a node that is no member. */
 static bool
-is_mute(const struct fleet *fleet, uint64_t now,
-        const struct fleet_delivery *d)
+is_unresponsive(const struct fleet *fleet, uint64_t now,
+                const struct fleet_delivery *d)
 {
     const struct fleet_member *member =
         g_hash_table_lookup(fleet->members, GUINT_TO_POINTER(d->to));
 
-    return member == NULL || now < member->mute_until ||
-           (d->reach != WIRE_REACH_NODE && now < member->relay_at);
+    return member == NULL || now < member->unresponsive_until ||
+           (d->reach != WIRE_REACH_NODE && now < member->relay_after);
 }
 
-/* Notes that a node does not answer. One that did not answer as a relay is
- * soon replaced, and may be alive: it is sent changes still. */
+/* An unresponsive relay may be alive: it is still sent changes. */
 static void
-mute(struct fleet *fleet, uint64_t now, const struct fleet_delivery *d)
+mark_unresponsive(struct fleet *fleet, uint64_t now,
+                  const struct fleet_delivery *d)
 {
     struct fleet_member *member =
         g_hash_table_lookup(fleet->members, GUINT_TO_POINTER(d->to));
@@ -258,124 +241,124 @@
         return;
     }
     if (d->reach != WIRE_REACH_NODE) {
-        member->relay_at = now + MUTE_MS;
+        member->relay_after = now + UNRESPONSIVE_MS;
     }
     else {
-        member->mute_until = now + MUTE_MS;
+        member->unresponsive_until = now + UNRESPONSIVE_MS;
     }
-    fleet_act(fleet, FLEET_UNANSWERED)->to = d->to;
+    fleet_add_action(fleet, FLEET_UNRESPONSIVE)->to = d->to;
 }
 
-/* Sends a message, and counts what the link takes for it. */
+/* Sends a delivery once, sets its retransmission timer and updates the pacing.
+ */
 static void
 send_once(struct fleet *fleet, uint64_t now, struct fleet_delivery *d)
 {
     struct fleet_relay *relay = &fleet->relay;
-    GByteArray *bytes = encode_once(fleet, now, d);
+    GByteArray *bytes = encode_cached(fleet, now, d);
 
     fleet_send_encoded(fleet, d->to, bytes);
     relay->unsent -= d->tries == 0;
-    d->at = d->reach == WIRE_REACH_NODE ? now + (RESEND_MS << d->tries)
-                                        : now + RELAY_RESEND_MS;
+    d->send_at = d->reach == WIRE_REACH_NODE ? now + (RESEND_MS << d->tries)
+                                             : now + RELAY_RESEND_MS;
     d->tries++;
     if (fault_is(FAULT_NO_RESEND)) {
-        d->at = d->until;
+        d->send_at = d->expires_at;
     }
-    if (fleet->bulk_bytes_ms != 0) {
-        relay->pace_bytes += bytes->len + HEAD_BYTES;
+    if (fleet->bulk_bytes_per_ms != 0) {
+        relay->pace_bytes += bytes->len + HEADER_BYTES;
         relay->pace_at = MAX(relay->pace_at, now) +
-                         relay->pace_bytes / fleet->bulk_bytes_ms;
-        relay->pace_bytes %= fleet->bulk_bytes_ms;
+                         relay->pace_bytes / fleet->bulk_bytes_per_ms;
+        relay->pace_bytes %= fleet->bulk_bytes_per_ms;
     }
     g_byte_array_unref(bytes);
 }
 
-/* Meets the deadline of one delivery; false when nothing is owed any more. */
+/* Retransmits, fails over or gives up; false when the delivery has ended. */
 static bool
-meet(struct fleet *fleet, uint64_t now, struct fleet_delivery *d)
+process_due(struct fleet *fleet, uint64_t now, struct fleet_delivery *d)
 {
-    bool passes_on = d->reach != WIRE_REACH_NODE;
+    bool to_relay = d->reach != WIRE_REACH_NODE;
 
-    if (now >= d->until) {
+    if (now >= d->expires_at) {
         return false;
     }
-    if (d->tries >= (passes_on ? RELAY_TRIES : NODE_TRIES)) {
-        mute(fleet, now, d);
+    if (d->tries >= (to_relay ? RELAY_TRIES_MAX : NODE_TRIES_MAX)) {
+        mark_unresponsive(fleet, now, d);
     }
-    if (!is_mute(fleet, now, d)) {
+    if (!is_unresponsive(fleet, now, d)) {
         send_once(fleet, now, d);
         return true;
     }
-    return passes_on && next_relay(fleet, now, d);
+    return to_relay && try_next_relay(fleet, now, d);
 }
 
-/* Says whether the link has room for another message in this turn. */
+/* True while less than PACING_BURST_MS of link time is queued. */
 static bool
 has_room(const struct fleet *fleet, uint64_t now)
 {
-    return fleet->relay.pace_at <= now + TURN_MS;
+    return fleet->relay.pace_at <= now + PACING_BURST_MS;
 }
 
-/* Sends what is due, as far as the link has room. */
 void
 fleet_deliver_due(struct fleet *fleet, uint64_t now)
 {
     struct fleet_relay *relay = &fleet->relay;
-    GArray *before = relay->deliveries;
+    GArray *old = relay->deliveries;
 
     if (now < relay->due_at) {
         return;
     }
     relay->deliveries = g_array_sized_new(
-        FALSE, FALSE, sizeof(struct fleet_delivery), before->len);
+        FALSE, FALSE, sizeof(struct fleet_delivery), old->len);
     relay->due_at = UINT64_MAX;
-    for (guint i = 0; i < before->len; i++) {
-        struct fleet_delivery d =
-            g_array_index(before, struct fleet_delivery, i);
-        bool owed = true;
+    for (guint i = 0; i < old->len; i++) {
+        struct fleet_delivery d = g_array_index(old, struct fleet_delivery, i);
+        bool pending = true;
 
-        if (now >= d.at && has_room(fleet, now)) {
-            owed = meet(fleet, now, &d);
+        if (now >= d.send_at && has_room(fleet, now)) {
+            pending = process_due(fleet, now, &d);
         }
-        if (!owed) {
+        if (!pending) {
             give_up(fleet, now, &d);
-            release(d.batch);
+            unref_batch(d.batch);
             continue;
         }
         g_array_append_val(relay->deliveries, d);
-        relay->due_at = MIN(relay->due_at,
-                            now >= d.at ? MAX(relay->pace_at, now + 1) : d.at);
+        relay->due_at =
+            MIN(relay->due_at,
+                now >= d.send_at ? MAX(relay->pace_at, now + 1) : d.send_at);
     }
-    g_array_free(before, TRUE);
+    g_array_free(old, TRUE);
 }
 
-/* Ends a delivery: it was taken, or is given up. */
+/* Removes a delivery and gives it up unless it was acknowledged. */
 static void
-settle(struct fleet *fleet, uint64_t now, guint index, bool taken)
+finish(struct fleet *fleet, uint64_t now, guint index, bool acknowledged)
 {
     GArray *all = fleet->relay.deliveries;
     struct fleet_delivery d = g_array_index(all, struct fleet_delivery, index);
 
     g_array_remove_index(all, index);
-    if (!taken) {
+    if (!acknowledged) {
         give_up(fleet, now, &d);
     }
-    release(d.batch);
+    unref_batch(d.batch);
 }
 
-/* A node has taken a message. One that cannot pass it on is not asked again
- * for a while, and the message goes to another. */
+/* A node with an incomplete member list does not relay: the message goes to
+ * another relay. */
 void
-fleet_take_spread_ack(struct fleet *fleet, uint64_t now,
-                      const wire_spread_ack *ack)
+fleet_handle_spread_ack(struct fleet *fleet, uint64_t now,
+                        const wire_spread_ack *ack)
 {
     GArray *all = fleet->relay.deliveries;
     struct fleet_member *member =
         g_hash_table_lookup(fleet->members, GUINT_TO_POINTER(ack->node));
 
     if (member != NULL) {
-        member->mute_until = 0;
-        member->relay_at = ack->passed ? 0 : now + BEGINS_MS;
+        member->unresponsive_until = 0;
+        member->relay_after = ack->passed ? 0 : now + RELAY_NOT_READY_MS;
     }
     for (guint i = 0; i < all->len; i++) {
         struct fleet_delivery *d =
@@ -385,8 +368,8 @@
             continue;
         }
         if (ack->passed || d->reach == WIRE_REACH_NODE ||
-            !next_relay(fleet, now, d)) {
-            settle(fleet, now, i, ack->passed);
+            !try_next_relay(fleet, now, d)) {
+            finish(fleet, now, i, ack->passed);
         }
         else {
             fleet->relay.due_at = MIN(fleet->relay.due_at, now);
--- a/fleet-internal.h
+++ b/fleet-internal.h
@@ -1,6 +1,6 @@
 /**
  * @file fleet-internal.h
- * What the fleet*.c files share. Nothing else includes it.
+ * Shared declarations of the fleet*.c files; private to them.
  */
 #ifndef RIDGERIDGE_FLEET_INTERNAL_H
 #define RIDGERIDGE_FLEET_INTERNAL_H
@@ -8,135 +8,128 @@
 #include "fleet.h"
 
 /* fleet.c */
-/** Adds an action, to be filled in. */
-struct fleet_action *fleet_act(struct fleet *fleet,
-                               enum fleet_action_kind kind);
+/** Appends an action; the caller sets its other fields. */
+struct fleet_action *fleet_add_action(struct fleet *fleet,
+                                      enum fleet_action_kind kind);
 
 /* fleet-members.c */
-/** Notes a member; `heard` says that the word is its own or the leader's. */
-void fleet_note_member(struct fleet *fleet, uint64_t now,
-                       const wire_node *node, bool heard);
-/** A member drawn by lot, 0 when there is none. */
+/** Adds or updates a member; `first_hand`: the report comes from the node
+ * itself or from the leader. */
+void fleet_update_member(struct fleet *fleet, uint64_t now,
+                         const wire_node *node, bool first_hand);
+/** Address of a random member, 0: none. */
 uint32_t fleet_random_member(struct fleet *fleet);
-/** The same to compare with, mostly one of this data hall. */
+/** Address of a random member, mostly of this data hall; 0: none. */
 uint32_t fleet_random_peer(struct fleet *fleet);
-/** LEADER: drops members that are silent. */
-void fleet_drop_lost(struct fleet *fleet, uint64_t now);
-/** Takes a list of members. */
-void fleet_take_members(struct fleet *fleet, uint64_t now,
-                        const wire_members *members);
+/** LEADER: removes members after FLEET_MEMBER_TIMEOUT_MS. */
+void fleet_expire_members(struct fleet *fleet, uint64_t now);
+void fleet_handle_members(struct fleet *fleet, uint64_t now,
+                          const wire_members *members);
 
 /* fleet-saved.c */
-/** Greets the stored nodes that were not heard yet. */
-void fleet_greet_unheard(struct fleet *fleet, uint64_t now);
+/** Sends hellos to saved nodes that have not sent one yet. */
+void fleet_contact_saved_nodes(struct fleet *fleet, uint64_t now);
 
 /* fleet-transfer.c */
-/** A node is owed something; one that begins is before the others. */
-void fleet_owe(struct fleet *fleet, uint32_t to, enum fleet_bulk what,
-               bool begins);
-/** Sends the copies that the link has room for. */
-void fleet_pay(struct fleet *fleet, uint64_t now);
-/** Counts bytes of copies that were sent otherwise. */
-void fleet_note_bulk(struct fleet *fleet, uint64_t now, uint64_t bytes);
-/** LEADER: owes the table to all members that showed an older one. */
+/** Queues an item for a node; `starting` nodes are served first. */
+void fleet_transfer_enqueue(struct fleet *fleet, uint32_t to,
+                            enum fleet_transfer_item items, bool starting);
+/** Sends queued transfers within the rate limit. */
+void fleet_transfer_send(struct fleet *fleet, uint64_t now);
+/** Charges bytes sent outside the queue to the rate limit. */
+void fleet_count_bulk(struct fleet *fleet, uint64_t now, uint64_t bytes);
+/** LEADER: queues the table for all members with an older one. */
 void fleet_push_table(struct fleet *fleet, uint64_t now);
-/** Asks a node that shows a newer table, when the leader's copy stays away. */
-void fleet_see_table(struct fleet *fleet, uint64_t now,
-                     const wire_hello *hello);
-/** Another node asks for the table. */
-void fleet_take_table_ask(struct fleet *fleet, const wire_table_ask *ask);
+/** Requests the table from the sender of a hello when its version is newer
+ * and the leader has not pushed it within FLEET_TABLE_WAIT_MS. */
+void fleet_request_newer_table(struct fleet *fleet, uint64_t now,
+                               const wire_hello *hello);
+void fleet_handle_table_ask(struct fleet *fleet, const wire_table_ask *ask);
 
 /* fleet-inventory.c */
-/** Sends a node that begins what it lacks in the buckets that differ. */
-void fleet_send_differing(struct fleet *fleet, uint64_t now, uint32_t to,
-                          const uint32_t theirs[WIRE_BUCKETS]);
-/** Asks for the records that differ from what another node holds. */
-void fleet_take_summary(struct fleet *fleet, const wire_summary *summary);
-/** Sends the records that another node asks for. */
-void fleet_take_need(struct fleet *fleet, uint64_t now, const wire_need *need);
-/** Compares the inventory with that of a node, when it is time to. */
+/** Sends a starting node records and digests of the buckets whose digest is
+ * not equal to `theirs`. */
+void fleet_send_differences(struct fleet *fleet, uint64_t now, uint32_t to,
+                            const uint32_t theirs[WIRE_BUCKETS]);
+void fleet_handle_summary(struct fleet *fleet, const wire_summary *summary);
+void fleet_handle_need(struct fleet *fleet, uint64_t now,
+                       const wire_need *need);
+/** Starts a comparison with the sender of a hello when one is due. */
 void fleet_compare(struct fleet *fleet, uint64_t now, const wire_hello *hello,
-                   bool same);
-/** Answers a comparison. */
-void fleet_take_compare(struct fleet *fleet, uint64_t now,
-                        const wire_compare *compare);
-/** Says whether the sender of a hello knows any upstream. */
-bool fleet_has_upstreams(const wire_hello *hello);
-/** Says whether a hello shows the same inventory. */
-bool fleet_has_same_upstreams(const struct fleet *fleet,
-                              const wire_hello *hello);
+                   bool same_upstreams);
+void fleet_handle_compare(struct fleet *fleet, uint64_t now,
+                          const wire_compare *compare);
+bool fleet_hello_has_upstreams(const wire_hello *hello);
+bool fleet_hello_matches_upstreams(const struct fleet *fleet,
+                                   const wire_hello *hello);
 
 /* fleet-resolve.c */
-/** Asks for upstreams that open flows name, as far as it is time to. */
-void fleet_resolve_now(struct fleet *fleet, uint64_t now);
+/** Sends the lookups that are due. */
+void fleet_resolve_send(struct fleet *fleet, uint64_t now);
 
 /* fleet-relay.c */
-/** Opens and closes what is on its way; the first message has a number after
- * this one. */
+/** Initializes the queues; `number` precedes the first sequence number. */
 void fleet_relay_open(struct fleet *fleet, uint64_t number);
 void fleet_relay_close(struct fleet *fleet);
-/** The node that relays to a range, as this one sees it; 0: none. Only with
- * WIRE_REACH_FLEET, for its own changes, it may be this one. */
-uint32_t fleet_relay_of(const struct fleet *fleet, uint64_t now,
-                        const struct fleet_range *range, wire_reach reach);
-/** Tells a node that is new, or back, what it may have missed. */
-void fleet_relay_greet(struct fleet *fleet, uint64_t now,
-                       const wire_node *node);
-/** A change that this node heard is to be known everywhere. */
-void fleet_relay_tell(struct fleet *fleet, uint64_t now, uint64_t id);
-/** This node's own changes wait until it finds a relay. */
-void fleet_relay_hold(struct fleet *fleet, uint64_t now, const uint64_t *ids,
-                      guint count);
-/** When what has gathered may leave; UINT64_MAX: nothing has, or not yet. */
+/** Chooses the relay of a range; 0: none. May return this node only with
+ * WIRE_REACH_FLEET. */
+uint32_t fleet_choose_relay(const struct fleet *fleet, uint64_t now,
+                            const struct fleet_range *range, wire_reach reach);
+/** Sends recent changes to a member that is new or responsive again. */
+void fleet_relay_send_recent(struct fleet *fleet, uint64_t now,
+                             const wire_node *node);
+/** Queues a change that this node detected. */
+void fleet_relay_add_change(struct fleet *fleet, uint64_t now, uint64_t id);
+/** Queues changes again after all relays have failed. */
+void fleet_relay_requeue(struct fleet *fleet, uint64_t now,
+                         const uint64_t *ids, guint count);
+/** Deadline of the next flush; UINT64_MAX: none, or deliveries are unsent. */
 uint64_t fleet_relay_due(const struct fleet *fleet);
-/** Lets what has gathered leave, when it is time to, and sends what is due. */
-void fleet_relay_move(struct fleet *fleet, uint64_t now);
-/** Takes changes, and owes them to those whom they are to reach. */
-void fleet_take_spread(struct fleet *fleet, uint64_t now,
-                       const wire_spread *spread);
+/** Flushes the queues and sends deliveries that are due. */
+void fleet_relay_run(struct fleet *fleet, uint64_t now);
+/** Merges, acknowledges and relays changes. */
+void fleet_handle_spread(struct fleet *fleet, uint64_t now,
+                         const wire_spread *spread);
 
 /* fleet-deliver.c */
-/** Opens and closes the list of what is owed. */
 void fleet_deliver_open(struct fleet *fleet);
 void fleet_deliver_close(struct fleet *fleet);
-/** Bytes that the link takes for a message of so many records. */
-uint64_t fleet_deliver_bytes(guint count);
-/** Owes changes to the relay of a range; 0: to one that is found later. */
+/** Size on the link of a message with `count` records, in bytes. */
+uint64_t fleet_deliver_message_bytes(guint count);
+/** Queues changes for the relay of a range; `to` 0: chosen when sent. */
 void fleet_deliver_to_relay(struct fleet *fleet, uint64_t now, uint32_t to,
                             const struct fleet_range *range, wire_reach reach,
                             const uint64_t *ids, guint count);
-/** Owes changes to nodes that pass nothing on. */
+/** Queues changes for nodes that do not relay them. */
 void fleet_deliver_to_nodes(struct fleet *fleet, uint64_t now,
                             const uint32_t *to, guint nodes,
                             const uint64_t *ids, guint count);
-/** Sends what is due, as far as the link has room. */
+/** Sends deliveries that are due, within the rate limit. */
 void fleet_deliver_due(struct fleet *fleet, uint64_t now);
-/** A node has taken a message, or cannot pass it on. */
-void fleet_take_spread_ack(struct fleet *fleet, uint64_t now,
-                           const wire_spread_ack *ack);
+void fleet_handle_spread_ack(struct fleet *fleet, uint64_t now,
+                             const wire_spread_ack *ack);
 
 /* fleet-send.c */
-/** Sends a message; to address 0 or to this node itself, nothing. */
+/** Encodes and sends a message; does nothing for address 0 or this node. */
 void fleet_send(struct fleet *fleet, uint32_t to, wire_msg *msg);
-/** Sends an encoded message, which is shared. */
+/** Sends an encoded message; takes a reference. */
 void fleet_send_encoded(struct fleet *fleet, uint32_t to, GByteArray *bytes);
-/** Takes a node's word about an upstream that this one hears. */
-void fleet_take_doubt(struct fleet *fleet, uint64_t now,
-                      const wire_doubt *doubt);
-/** LEADER: tells all members which halls are emptied. */
+/** Records a suspicion in the upstream set. */
+void fleet_handle_suspicion(struct fleet *fleet, uint64_t now,
+                            const wire_doubt *doubt);
+/** LEADER: sends the drained halls to all members. */
 void fleet_push_halls(struct fleet *fleet);
-/** Tells another node what this one knows. */
 void fleet_send_hello(struct fleet *fleet, uint32_t to, bool reply);
-/** The same, and asks it for what this one lacks. */
-void fleet_ask(struct fleet *fleet, uint32_t to);
-/** LEADER: tells all members who is new. */
+/** Sends a hello that requests all data that this node lacks. */
+void fleet_request_sync(struct fleet *fleet, uint32_t to);
+/** LEADER: announces new members to all. */
 void fleet_push_joined(struct fleet *fleet);
-/** Sends all members. */
+/** Sends the member list. */
 void fleet_send_members(struct fleet *fleet, uint32_t to);
-/** Owes the members to the node of a hello that lacks them. */
-void fleet_owe_members(struct fleet *fleet, const wire_hello *hello,
-                       struct fleet_member *member);
-/** Sends records of upstreams to a node. */
+/** Queues the member list for the sender of a hello that lacks it. */
+void fleet_enqueue_members(struct fleet *fleet, const wire_hello *hello,
+                           struct fleet_member *member);
+/** Sends records in as many messages as needed. */
 void fleet_send_upstreams(struct fleet *fleet, uint32_t to,
                           wire_upstream *records, guint count);
 
--- a/fleet-members.c
+++ b/fleet-members.c
@@ -1,9 +1,8 @@
 /*
- * The members: who they are, who is new, and who is lost. The leader's list
- * is whole; other nodes add to theirs what they hear. Owns the table of
- * members, their addresses in order, and the sum that is their digest: both
- * are kept up with each change, since every hello needs them and a leader
- * takes two a second from each node.
+ * Member list: joins, updates, expiry and the digest that hellos compare. Only
+ * the leader's list is complete; other nodes add members as hellos arrive. The
+ * sorted addresses and the digest are updated with each change instead of with
+ * each hello.
  */
 #include "fleet-internal.h"
 
@@ -11,27 +10,26 @@
 #include "hash.h"
 #include "random.h"
 
-/* Members of a hall that are asked at a time. */
-#define PROBED 3
-/* Of so many comparisons one is with any member, so that halls learn from each
- * other; all others stay within the hall, whose links cost less. */
-#define FAR_ONE_IN 4U
+/* Members that are sent a hello per probe. */
+#define PROBE_COUNT 3
+/* One in this many comparisons is with a peer of any hall, so that data
+ * spreads between halls; the others stay in this hall. */
+#define ANY_HALL_ONE_IN 4U
 
-/* What a node adds to the digest of the members. */
+/* Contribution of a node to the members' digest. */
 static uint64_t
-digest_of(const wire_node *node)
+node_digest(const wire_node *node)
 {
     return hash_pair(HASH_RANK, node->address, node->incarnation);
 }
 
-/* Digest of the members: who, and which start of it. */
 uint64_t
 fleet_members_digest(const struct fleet *fleet)
 {
-    return fleet->members_sum + digest_of(&fleet->self);
+    return fleet->members_digest_sum + node_digest(&fleet->self);
 }
 
-/* How many addresses of a list are lower. */
+/* Number of addresses below `address`. */
 static guint
 rank_of(const GArray *addresses, uint32_t address)
 {
@@ -51,74 +49,72 @@
     return first;
 }
 
-/* Puts an address in its place. */
 static void
 insert_address(GArray *addresses, uint32_t address)
 {
-    guint place = rank_of(addresses, address);
+    guint index = rank_of(addresses, address);
 
-    g_array_insert_val(addresses, place, address);
+    g_array_insert_val(addresses, index, address);
 }
 
-/* Takes an address out, where it is in the list. */
 static void
 remove_address(GArray *addresses, uint32_t address)
 {
-    guint place = rank_of(addresses, address);
+    guint index = rank_of(addresses, address);
 
-    if (place < addresses->len &&
-        g_array_index(addresses, uint32_t, place) == address) {
-        g_array_remove_index(addresses, place);
+    if (index < addresses->len &&
+        g_array_index(addresses, uint32_t, index) == address) {
+        g_array_remove_index(addresses, index);
     }
 }
 
-/* Adds a member that was not one. */
 static struct fleet_member *
 add_member(struct fleet *fleet, const wire_node *node)
 {
     struct fleet_member *member = g_new0(struct fleet_member, 1);
 
     member->node = *node;
-    fleet->members_sum += digest_of(node);
+    fleet->members_digest_sum += node_digest(node);
     (void)g_hash_table_insert(fleet->members, GUINT_TO_POINTER(node->address),
                               member);
     insert_address(fleet->addresses, node->address);
     if (node->hall == fleet->self.hall) {
-        insert_address(fleet->neighbours, node->address);
+        insert_address(fleet->hall_addresses, node->address);
     }
     return member;
 }
 
-/* Notes what a member says of itself now. */
+/* Replaces a member's node and adjusts the digest and the hall's addresses. */
 static void
-renew_member(struct fleet *fleet, struct fleet_member *member,
-             const wire_node *node)
+update_node(struct fleet *fleet, struct fleet_member *member,
+            const wire_node *node)
 {
-    fleet->members_sum += digest_of(node) - digest_of(&member->node);
+    fleet->members_digest_sum +=
+        node_digest(node) - node_digest(&member->node);
     if (node->hall != member->node.hall) {
-        remove_address(fleet->neighbours, node->address);
+        remove_address(fleet->hall_addresses, node->address);
         if (node->hall == fleet->self.hall) {
-            insert_address(fleet->neighbours, node->address);
+            insert_address(fleet->hall_addresses, node->address);
         }
     }
     member->node = *node;
 }
 
-/* A member is none any more; the caller takes it out of the table. */
+/* Removes a member from the digest and the address lists; the caller removes
+ * it from the table. */
 static void
 forget_member(struct fleet *fleet, const struct fleet_member *member)
 {
-    fleet->members_sum -= digest_of(&member->node);
+    fleet->members_digest_sum -= node_digest(&member->node);
     remove_address(fleet->addresses, member->node.address);
-    remove_address(fleet->neighbours, member->node.address);
+    remove_address(fleet->hall_addresses, member->node.address);
 }
 
-/* LEADER: watches the upstreams of a node that is lost, and tells all when
- * they are silent. Other nodes do not: all would tell all and fill small
- * links. One that begins anew watches its upstreams again itself, once it is
- * told that it hears them. */
+/* LEADER: monitors the upstreams of a lost node. Only the leader does, so that
+ * only one node broadcasts their failure. A restarted keeper resumes
+ * monitoring once it receives records that name it as the keeper. */
 static void
-lose_keeper(struct fleet *fleet, uint64_t now, uint32_t address)
+adopt_upstreams(struct fleet *fleet, uint64_t now, uint32_t address)
 {
     if (fleet->leads_since == 0) {
         return;
@@ -126,32 +122,32 @@
     upstream_adopt(fleet->upstreams, now, address);
 }
 
-/* LEADER: a node is new, or began anew; all are told. */
+/* LEADER: queues the announcement of a new or restarted node. */
 static void
-note_joined(struct fleet *fleet, uint64_t now, uint32_t address)
+record_joined(struct fleet *fleet, uint64_t now, uint32_t address)
 {
     if (fleet->leads_since != 0) {
         if (fleet->joined->len == 0) {
-            fleet->joined_at = MAX(now, fleet->joined_at);
+            fleet->push_joined_at = MAX(now, fleet->push_joined_at);
         }
         g_array_append_val(fleet->joined, address);
     }
 }
 
-/* A node that began so lately is no owner: it may have been one a moment ago,
- * and does not know to whom it sent. */
-#define OWNER_AFTER_MS 1100U
+/* A node owns no upstream before this uptime: after a restart it does not know
+ * which flows it sent to upstreams in warmup. */
+#define OWNER_MIN_UPTIME_MS 1100U
 
-/* Lists the nodes among which owners are found. */
 void
 fleet_list_owners(const struct fleet *fleet, uint64_t now, GArray *out)
 {
-    bool knows_all = fleet->relay.listed || fleet->leads_since != 0;
+    bool has_all_members =
+        fleet->relay.has_all_members || fleet->leads_since != 0;
     GHashTableIter iter;
     gpointer value;
 
-    if (!knows_all || fleet->self.stopping ||
-        now < fleet->started_at + OWNER_AFTER_MS) {
+    if (!has_all_members || fleet->self.stopping ||
+        now < fleet->started_at + OWNER_MIN_UPTIME_MS) {
         return;
     }
     g_array_append_val(out, fleet->self.address);
@@ -165,9 +161,8 @@
     }
 }
 
-/* Place of this node among all. */
 uint32_t
-fleet_place(const struct fleet *fleet)
+fleet_rank(const struct fleet *fleet)
 {
     uint64_t count = fleet->addresses->len + 1;
     uint64_t before = rank_of(fleet->addresses, fleet->self.address);
@@ -175,10 +170,10 @@
     return (uint32_t)((before << 32) / count);
 }
 
-/* Notes a member. */
+/* A second-hand report does not replace a known incarnation. */
 void
-fleet_note_member(struct fleet *fleet, uint64_t now, const wire_node *node,
-                  bool heard)
+fleet_update_member(struct fleet *fleet, uint64_t now, const wire_node *node,
+                    bool first_hand)
 {
     struct fleet_member *member =
         g_hash_table_lookup(fleet->members, GUINT_TO_POINTER(node->address));
@@ -189,27 +184,26 @@
     }
     if (member == NULL) {
         member = add_member(fleet, node);
-        member->heard_at = now;
-        note_joined(fleet, now, node->address);
+        member->last_seen_at = now;
+        record_joined(fleet, now, node->address);
         is_new = true;
     }
     else if (member->node.incarnation != node->incarnation) {
-        if (!heard) {
+        if (!first_hand) {
             return;
         }
-        note_joined(fleet, now, node->address);
+        record_joined(fleet, now, node->address);
         is_new = true;
     }
-    renew_member(fleet, member, node);
-    if (heard) {
-        member->heard_at = now;
+    update_node(fleet, member, node);
+    if (first_hand) {
+        member->last_seen_at = now;
     }
     if (is_new) {
-        fleet_relay_greet(fleet, now, node);
+        fleet_relay_send_recent(fleet, now, node);
     }
 }
 
-/* A member drawn by lot, 0 when there is none. */
 uint32_t
 fleet_random_member(struct fleet *fleet)
 {
@@ -222,24 +216,23 @@
                          (guint)(random_next(&fleet->random) % all->len));
 }
 
-/* A member to compare with, 0 when there is none. */
 uint32_t
 fleet_random_peer(struct fleet *fleet)
 {
-    const GArray *near = fleet->neighbours;
-    uint64_t lot = random_next(&fleet->random);
+    const GArray *neighbours = fleet->hall_addresses;
+    uint64_t draw = random_next(&fleet->random);
 
-    if (near->len == 0 || lot % FAR_ONE_IN == 0 || fault_is(FAULT_NO_NEAR)) {
+    if (neighbours->len == 0 || draw % ANY_HALL_ONE_IN == 0 ||
+        fault_is(FAULT_NO_NEAR)) {
         return fleet_random_member(fleet);
     }
-    return g_array_index(near, uint32_t,
-                         (guint)(lot / FAR_ONE_IN) % near->len);
+    return g_array_index(neighbours, uint32_t,
+                         (guint)(draw / ANY_HALL_ONE_IN) % neighbours->len);
 }
 
-/* A member of a hall that takes packets for others. */
 const wire_node *
-fleet_carrier(const struct fleet *fleet, uint64_t now, uint32_t hall,
-              uint64_t seed)
+fleet_choose_forwarder(const struct fleet *fleet, uint64_t now, uint32_t hall,
+                       uint64_t seed)
 {
     const wire_node *best = NULL;
     uint64_t best_rank = 0;
@@ -252,7 +245,8 @@
         uint64_t rank = hash_pair(HASH_RANK, member->node.address, seed);
 
         if (member->node.hall == hall && !member->node.stopping &&
-            now >= member->mute_until && (best == NULL || rank > best_rank)) {
+            now >= member->unresponsive_until &&
+            (best == NULL || rank > best_rank)) {
             best = &member->node;
             best_rank = rank;
         }
@@ -260,14 +254,13 @@
     return best;
 }
 
-/* Asks members of a hall whether they hear this node; several, since one may
- * be down. */
+/* Probes several members, as one may be down. */
 void
 fleet_probe_hall(struct fleet *fleet, uint64_t now, uint32_t hall)
 {
-    for (int i = 0; i < PROBED; i++) {
-        const wire_node *node =
-            fleet_carrier(fleet, now, hall, random_next(&fleet->random));
+    for (int i = 0; i < PROBE_COUNT; i++) {
+        const wire_node *node = fleet_choose_forwarder(
+            fleet, now, hall, random_next(&fleet->random));
 
         if (node != NULL) {
             fleet_send_hello(fleet, node->address, false);
@@ -275,10 +268,10 @@
     }
 }
 
-/* LEADER: watches upstreams whose keeper is no member; after a loss of power
- * on all nodes their records come from disks. */
+/* LEADER: monitors upstreams whose keeper is no member, such as records loaded
+ * from disk after a power loss on all nodes. */
 static void
-watch_unkept(struct fleet *fleet, uint64_t now)
+adopt_orphaned_upstreams(struct fleet *fleet, uint64_t now)
 {
     const struct upstream_set *set = fleet->upstreams;
 
@@ -289,14 +282,13 @@
             u->keeper != fleet->self.address &&
             !g_hash_table_contains(fleet->members,
                                    GUINT_TO_POINTER(u->keeper))) {
-            lose_keeper(fleet, now, u->keeper);
+            adopt_upstreams(fleet, now, u->keeper);
         }
     }
 }
 
-/* LEADER: drops members that are silent. */
 void
-fleet_drop_lost(struct fleet *fleet, uint64_t now)
+fleet_expire_members(struct fleet *fleet, uint64_t now)
 {
     GHashTableIter iter;
     gpointer value;
@@ -304,20 +296,19 @@
     g_hash_table_iter_init(&iter, fleet->members);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const struct fleet_member *member = value;
-        uint64_t since = MAX(member->heard_at, fleet->leads_since);
+        uint64_t since = MAX(member->last_seen_at, fleet->leads_since);
 
-        if (now > since + FLEET_LOST_MS) {
-            lose_keeper(fleet, now, member->node.address);
+        if (now > since + FLEET_MEMBER_TIMEOUT_MS) {
+            adopt_upstreams(fleet, now, member->node.address);
             forget_member(fleet, member);
             g_hash_table_iter_remove(&iter);
         }
     }
-    if (now > fleet->leads_since + FLEET_LOST_MS) {
-        watch_unkept(fleet, now);
+    if (now > fleet->leads_since + FLEET_MEMBER_TIMEOUT_MS) {
+        adopt_orphaned_upstreams(fleet, now);
     }
 }
 
-/* Says whether a list of nodes holds an address. */
 static bool
 lists_address(const wire_members *members, uint32_t address)
 {
@@ -329,10 +320,10 @@
     return false;
 }
 
-/* Takes a list of members; the leader's is whole. */
+/* Removes members that are missing from a complete list. */
 void
-fleet_take_members(struct fleet *fleet, uint64_t now,
-                   const wire_members *members)
+fleet_handle_members(struct fleet *fleet, uint64_t now,
+                     const wire_members *members)
 {
     GHashTableIter iter;
     gpointer value;
@@ -341,19 +332,19 @@
         return;
     }
     for (u_int i = 0; i < members->nodes.nodes_len; i++) {
-        fleet_note_member(fleet, now, &members->nodes.nodes_val[i],
-                          members->extent != WIRE_SOME);
+        fleet_update_member(fleet, now, &members->nodes.nodes_val[i],
+                            members->extent != WIRE_SOME);
     }
     if (members->extent != WIRE_WHOLE) {
         return;
     }
-    fleet->relay.listed = true;
+    fleet->relay.has_all_members = true;
     g_hash_table_iter_init(&iter, fleet->members);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const struct fleet_member *member = value;
 
         if (!lists_address(members, member->node.address)) {
-            lose_keeper(fleet, now, member->node.address);
+            adopt_upstreams(fleet, now, member->node.address);
             forget_member(fleet, member);
             g_hash_table_iter_remove(&iter);
         }
--- a/fleet-relay.c
+++ b/fleet-relay.c
@@ -1,96 +1,85 @@
 /*
- * Who passes changes of upstreams on. The node that hears a change hands it to
- * the relay of its data hall, which owes it to that hall and to one relay of
- * each other hall; so a record crosses between two halls once each time that
- * it is told. Within a hall it goes down a tree that is as wide as the
- * sender's link bears. A relay is no point of truth and is not elected: each
- * node takes the one with the largest link that answers, which may be itself.
- * Two relays for a time cost bytes and nothing else.
+ * Dissemination of upstream changes: from the node that detects a change to
+ * the relay of its data hall, from there to one relay of each other hall and
+ * down a tree whose fanout depends on the sender's link. Relays are not
+ * elected: each node chooses the responsive node with the largest link, and
+ * differing choices only duplicate messages.
  */
 #include "fleet-internal.h"
 
 #include "fault.h"
 
-/* Changes that come within so long leave together: where a tenth of 600
- * upstreams leaves at once, a relay then sends several in a message. */
-#define GATHER_MS 20U
-/* A node without a relay, which does not know the whole fleet either, looks
- * for one again after so long: it has just begun, or no leader is known. */
-#define HOLD_MS 100U
-/* So long after its start a node that is not settled keeps what it heard. */
-#define BEGIN_MS 1000U
-/* A fleet of no more members than this needs no relay: each change goes to all
- * of them in one step, 16 datagrams of about 110 bytes. */
-#define FEW 16U
-/* A node sends a message to as many others as its share of the link takes
- * within so long, and the rest by them: to about 20 of 2 Mbit/s, to all of a
- * hall where the link has 100. */
-#define FAN_MS 20U
-/* But to no fewer than so many, or the tree would be deep. */
-#define FAN_LEAST 4U
-/* What takes an upstream out of use is told once more after so long: a relay
- * may die with what it has taken and not passed on, and whoever missed it goes
- * on sending new flows there. */
-#define AGAIN_MS 500U
-/* A node that is new to its hall's relay is told the changes of so long
- * before: it may have been sent the inventory before a change and have become
- * known as a member after it. From its start to that takes up to 2 s. */
+/* Changes within this interval share messages. */
+#define BATCH_INTERVAL_MS 20U
+/* Time between searches for a relay while none is known. */
+#define RELAY_RETRY_MS 100U
+/* Longest delay of own changes on a node that is not settled. */
+#define STARTUP_HOLD_MS 1000U
+/* A fleet of up to this many members uses no relays. */
+#define DIRECT_MEMBERS_MAX 16U
+/* Link time for the direct sends of one message. */
+#define FANOUT_MS 20U
+/* Bounds the depth of the tree. */
+#define FANOUT_MIN 4U
+/* Delay of the second broadcast when an upstream leaves service: a relay may
+ * fail after its acknowledgement, and nodes without the change keep sending
+ * new flows there. */
+#define REPEAT_MS 500U
+/* A new member is sent the changes of this period: its inventory may be older,
+ * and earlier broadcasts went to known members only. */
 #define RECENT_MS 3000U
 
-/* Opens the state of the relay. */
 void
 fleet_relay_open(struct fleet *fleet, uint64_t number)
 {
     struct fleet_relay *relay = &fleet->relay;
 
-    relay->own = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-    relay->told = g_array_new(FALSE, FALSE, sizeof(struct fleet_told));
-    relay->passed = g_array_new(FALSE, FALSE, sizeof(struct fleet_passed));
-    relay->recent = g_array_new(FALSE, FALSE, sizeof(struct fleet_recent));
-    relay->number = number;
+    relay->own_changes = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+    relay->repeats = g_array_new(FALSE, FALSE, sizeof(struct fleet_repeat));
+    relay->queued =
+        g_array_new(FALSE, FALSE, sizeof(struct fleet_queued_change));
+    relay->recent =
+        g_array_new(FALSE, FALSE, sizeof(struct fleet_recent_change));
+    relay->last_number = number;
     fleet_deliver_open(fleet);
 }
 
-/* Frees it. */
 void
 fleet_relay_close(struct fleet *fleet)
 {
-    g_array_free(fleet->relay.own, TRUE);
-    g_array_free(fleet->relay.told, TRUE);
-    g_array_free(fleet->relay.passed, TRUE);
+    g_array_free(fleet->relay.own_changes, TRUE);
+    g_array_free(fleet->relay.repeats, TRUE);
+    g_array_free(fleet->relay.queued, TRUE);
     g_array_free(fleet->relay.recent, TRUE);
     fleet_deliver_close(fleet);
 }
 
-/* All nodes of a hall. */
 static struct fleet_range
 whole_hall(uint32_t hall)
 {
     return (struct fleet_range){.hall = hall, .last = UINT32_MAX};
 }
 
-/* Says whether this node may relay: it knows all members. One that has just
- * begun would leave most of its hall out. */
+/* A relay with an incomplete member list would leave out most of its hall. */
 static bool
 may_relay(const struct fleet *fleet)
 {
-    return (fleet->relay.listed || fleet->leads_since != 0) &&
+    return (fleet->relay.has_all_members || fleet->leads_since != 0) &&
            !fleet->self.stopping;
 }
 
-/* Says whether this node sends changes to all others itself. One that does not
- * know all members yet may think a large fleet a small one: what it hears in
- * its first second would reach a few nodes, and the others would call those
- * upstreams silent. */
+/* True when this node sends changes to all others itself. With an incomplete
+ * member list a large fleet looks small, and changes would reach only the
+ * known members. */
 static bool
 sends_to_all(const struct fleet *fleet)
 {
-    return may_relay(fleet) && (g_hash_table_size(fleet->members) <= FEW ||
-                                fault_is(FAULT_NO_RELAY));
+    return may_relay(fleet) &&
+           (g_hash_table_size(fleet->members) <= DIRECT_MEMBERS_MAX ||
+            fault_is(FAULT_NO_RELAY));
 }
 
-/* Says whether a node belongs to a range; in a fleet that needs no relay, all
- * are of one hall. */
+/* Without relays, the whole fleet counts as one hall. */
 static bool
 is_within(const struct fleet *fleet, const struct fleet_range *range,
           const wire_node *node)
@@ -99,22 +88,19 @@
            node->address >= range->first && node->address <= range->last;
 }
 
-/* Says whether one node relays rather than another: by its link, since it
- * sends most; then the order is the same everywhere, so that a hall's changes
- * gather at one node. */
+/* Orders relays by link rate, then by address: the same order on all nodes, so
+ * that a hall agrees on one relay. */
 static bool
-is_better(const wire_node *node, const wire_node *other)
+is_preferred(const wire_node *node, const wire_node *other)
 {
     return node->link_kbit_s != other->link_kbit_s
                ? node->link_kbit_s > other->link_kbit_s
                : node->address < other->address;
 }
 
-/* The node that relays to a range, as this one sees it; 0: none. Only for its
- * own changes it may be this one. */
 uint32_t
-fleet_relay_of(const struct fleet *fleet, uint64_t now,
-               const struct fleet_range *range, wire_reach reach)
+fleet_choose_relay(const struct fleet *fleet, uint64_t now,
+                   const struct fleet_range *range, wire_reach reach)
 {
     const wire_node *best =
         reach == WIRE_REACH_FLEET && may_relay(fleet) ? &fleet->self : NULL;
@@ -126,35 +112,35 @@
         const struct fleet_member *member = value;
 
         if (is_within(fleet, range, &member->node) && !member->node.stopping &&
-            now >= member->mute_until && now >= member->relay_at &&
-            (best == NULL || is_better(&member->node, best))) {
+            now >= member->unresponsive_until && now >= member->relay_after &&
+            (best == NULL || is_preferred(&member->node, best))) {
             best = &member->node;
         }
     }
     return best != NULL ? best->address : 0;
 }
 
-/* Sets when what has gathered leaves: at once, unless something left just
- * before; what comes meanwhile goes with it. */
+/* Flushes now, but at least BATCH_INTERVAL_MS after the last flush. */
 static void
-flush_soon(struct fleet *fleet, uint64_t now)
+schedule_flush(struct fleet *fleet, uint64_t now)
 {
     struct fleet_relay *relay = &fleet->relay;
-    uint64_t at = MAX(now, relay->flushed_at + GATHER_MS);
+    uint64_t at = MAX(now, relay->flushed_at + BATCH_INTERVAL_MS);
 
     relay->flush_at = relay->flush_at == 0 ? at : MIN(relay->flush_at, at);
 }
 
-/* Remembers for a while that a change was passed on. */
+/* Also removes changes older than RECENT_MS. */
 static void
-note_recent(struct fleet *fleet, uint64_t now, uint64_t id)
+record_recent(struct fleet *fleet, uint64_t now, uint64_t id)
 {
     GArray *recent = fleet->relay.recent;
-    struct fleet_recent change = {.id = id, .at = now};
+    struct fleet_recent_change change = {.id = id, .added_at = now};
     guint old = 0;
 
     while (old < recent->len &&
-           g_array_index(recent, struct fleet_recent, old).at + RECENT_MS <
+           g_array_index(recent, struct fleet_recent_change, old).added_at +
+                   RECENT_MS <
                now) {
         old++;
     }
@@ -162,26 +148,26 @@
     g_array_append_val(recent, change);
 }
 
-/* Tells a node of this hall that is new, or back, the changes that it may have
- * missed, where this node relays. */
+/* Does nothing unless this node is the relay of the member's hall. */
 void
-fleet_relay_greet(struct fleet *fleet, uint64_t now, const wire_node *node)
+fleet_relay_send_recent(struct fleet *fleet, uint64_t now,
+                        const wire_node *node)
 {
     const GArray *recent = fleet->relay.recent;
     struct fleet_range hall = whole_hall(fleet->self.hall);
     GArray *ids;
 
     if (node->hall != fleet->self.hall || sends_to_all(fleet) ||
-        fleet_relay_of(fleet, now, &hall, WIRE_REACH_FLEET) !=
+        fleet_choose_relay(fleet, now, &hall, WIRE_REACH_FLEET) !=
             fleet->self.address) {
         return;
     }
     ids = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     for (guint i = 0; i < recent->len; i++) {
-        const struct fleet_recent *change =
-            &g_array_index(recent, struct fleet_recent, i);
+        const struct fleet_recent_change *change =
+            &g_array_index(recent, struct fleet_recent_change, i);
 
-        if (now <= change->at + RECENT_MS) {
+        if (now <= change->added_at + RECENT_MS) {
             g_array_append_val(ids, change->id);
         }
     }
@@ -190,63 +176,64 @@
     g_array_free(ids, TRUE);
 }
 
-/* A change that this node heard is to be known everywhere. */
 void
-fleet_relay_tell(struct fleet *fleet, uint64_t now, uint64_t id)
+fleet_relay_add_change(struct fleet *fleet, uint64_t now, uint64_t id)
 {
     const struct upstream *upstream = upstream_by_id(fleet->upstreams, id);
-    struct fleet_told told = {.id = id, .at = now + AGAIN_MS};
+    struct fleet_repeat repeat = {.id = id, .due_at = now + REPEAT_MS};
 
-    g_array_append_val(fleet->relay.own, id);
+    g_array_append_val(fleet->relay.own_changes, id);
     if (upstream != NULL && upstream->state != UPSTREAM_READY &&
         !fault_is(FAULT_NO_AGAIN)) {
-        g_array_append_val(fleet->relay.told, told);
+        g_array_append_val(fleet->relay.repeats, repeat);
     }
-    flush_soon(fleet, now);
+    schedule_flush(fleet, now);
 }
 
-/* This node owes a change to a range and, by `reach`, to the other halls. */
+/* Queues a change for a range and, with WIRE_REACH_FLEET, for the other halls.
+ */
 static void
-owe(struct fleet *fleet, uint64_t now, wire_reach reach,
-    const struct fleet_range *range, uint64_t id)
+enqueue(struct fleet *fleet, uint64_t now, wire_reach reach,
+        const struct fleet_range *range, uint64_t id)
 {
-    struct fleet_passed passed = {
-        .id = id, .range = *range, .halls = reach == WIRE_REACH_FLEET};
+    struct fleet_queued_change change = {.id = id,
+                                         .range = *range,
+                                         .to_other_halls =
+                                             reach == WIRE_REACH_FLEET};
 
-    note_recent(fleet, now, id);
-    g_array_append_val(fleet->relay.passed, passed);
-    flush_soon(fleet, now);
+    record_recent(fleet, now, id);
+    g_array_append_val(fleet->relay.queued, change);
+    schedule_flush(fleet, now);
 }
 
-/* This node's own changes wait until it finds a relay. */
 void
-fleet_relay_hold(struct fleet *fleet, uint64_t now, const uint64_t *ids,
-                 guint count)
+fleet_relay_requeue(struct fleet *fleet, uint64_t now, const uint64_t *ids,
+                    guint count)
 {
     struct fleet_relay *relay = &fleet->relay;
 
-    g_array_append_vals(relay->own, ids, count);
+    g_array_append_vals(relay->own_changes, ids, count);
     if (relay->flush_at == 0) {
-        relay->flush_at = now + HOLD_MS;
+        relay->flush_at = now + RELAY_RETRY_MS;
     }
 }
 
-/* Hands this node's own changes to the relay of its hall, or takes them to be
- * passed on here. One that has just begun is told first what is known. */
+/* Sends own changes to the relay of this hall, or queues them for relaying
+ * when this node is the relay. A starting node waits for its sync first. */
 static void
-hand_over(struct fleet *fleet, uint64_t now)
+send_own_changes(struct fleet *fleet, uint64_t now)
 {
-    GArray *own = fleet->relay.own;
+    GArray *own = fleet->relay.own_changes;
     const uint64_t *ids = (const uint64_t *)(void *)own->data;
     struct fleet_range hall = whole_hall(fleet->self.hall);
-    uint32_t to = fleet_relay_of(fleet, now, &hall, WIRE_REACH_FLEET);
+    uint32_t to = fleet_choose_relay(fleet, now, &hall, WIRE_REACH_FLEET);
 
-    if (!fleet->settled && now < fleet->started_at + BEGIN_MS) {
+    if (!fleet->settled && now < fleet->started_at + STARTUP_HOLD_MS) {
         return;
     }
     if (sends_to_all(fleet) || to == fleet->self.address) {
         for (guint i = 0; i < own->len; i++) {
-            owe(fleet, now, WIRE_REACH_FLEET, &hall, ids[i]);
+            enqueue(fleet, now, WIRE_REACH_FLEET, &hall, ids[i]);
         }
     }
     else if (to != 0) {
@@ -259,29 +246,28 @@
     g_array_set_size(own, 0);
 }
 
-/* Takes what is due to be handed over once more. */
+/* Moves due repeats to the own changes. */
 static void
-take_told(struct fleet *fleet, uint64_t now)
+add_due_repeats(struct fleet *fleet, uint64_t now)
 {
-    GArray *told = fleet->relay.told;
+    GArray *repeats = fleet->relay.repeats;
     guint due = 0;
 
-    while (due < told->len) {
-        const struct fleet_told *change =
-            &g_array_index(told, struct fleet_told, due);
+    while (due < repeats->len) {
+        const struct fleet_repeat *change =
+            &g_array_index(repeats, struct fleet_repeat, due);
 
-        if (now < change->at) {
+        if (now < change->due_at) {
             break;
         }
-        g_array_append_val(fleet->relay.own, change->id);
+        g_array_append_val(fleet->relay.own_changes, change->id);
         due++;
     }
-    g_array_remove_range(told, 0, due);
+    g_array_remove_range(repeats, 0, due);
 }
 
-/* Orders addresses. */
 static gint
-by_address(gconstpointer a, gconstpointer b)
+compare_addresses(gconstpointer a, gconstpointer b)
 {
     uint32_t one = *(const uint32_t *)a;
     uint32_t other = *(const uint32_t *)b;
@@ -289,7 +275,7 @@
     return one < other ? -1 : one > other;
 }
 
-/* Lists the others of a range that answer, by address. */
+/* Lists the responsive members in a range, sorted by address. */
 static GArray *
 list_range(const struct fleet *fleet, uint64_t now,
            const struct fleet_range *range)
@@ -303,62 +289,62 @@
         const struct fleet_member *member = value;
 
         if (is_within(fleet, range, &member->node) &&
-            now >= member->mute_until) {
+            now >= member->unresponsive_until) {
             g_array_append_val(nodes, member->node.address);
         }
     }
-    g_array_sort(nodes, by_address);
+    g_array_sort(nodes, compare_addresses);
     return nodes;
 }
 
-/* To how many nodes this one sends changes itself. */
+/* Number of nodes that can be sent a message within FANOUT_MS. */
 static guint
-fan_of(const struct fleet *fleet, guint nodes, guint count)
+fanout(const struct fleet *fleet, guint nodes, guint count)
 {
-    uint64_t room = (uint64_t)fleet->bulk_bytes_ms * FAN_MS;
-    uint64_t fan = room / fleet_deliver_bytes(count);
+    uint64_t budget = (uint64_t)fleet->bulk_bytes_per_ms * FANOUT_MS;
+    uint64_t width = budget / fleet_deliver_message_bytes(count);
 
-    if (fleet->bulk_bytes_ms == 0 || sends_to_all(fleet)) {
+    if (fleet->bulk_bytes_per_ms == 0 || sends_to_all(fleet)) {
         return nodes;
     }
-    return (guint)CLAMP(fan, FAN_LEAST, MAX(nodes, FAN_LEAST));
+    return (guint)CLAMP(width, FANOUT_MIN, MAX(nodes, FANOUT_MIN));
 }
 
-/* Owes changes to a range: to each of its nodes or, when these are more than
- * the link bears, to one of each part of it, which passes them on. The parts
- * have no gaps, so a node that this one does not know is told by one that
- * does. */
+/* Sends changes to each node of a range or, beyond the fanout, to one relay
+ * per subrange. The subranges leave no gaps, so that a node unknown here is
+ * reached by a relay that knows it. */
 static void
-to_range(struct fleet *fleet, uint64_t now, const struct fleet_range *range,
-         const uint64_t *ids, guint count)
+send_to_range(struct fleet *fleet, uint64_t now,
+              const struct fleet_range *range, const uint64_t *ids,
+              guint count)
 {
     GArray *nodes = list_range(fleet, now, range);
     const uint32_t *all = (const uint32_t *)(void *)nodes->data;
-    guint fan = fan_of(fleet, nodes->len, count);
+    guint width = fanout(fleet, nodes->len, count);
 
-    if (nodes->len <= fan) {
+    if (nodes->len <= width) {
         fleet_deliver_to_nodes(fleet, now, all, nodes->len, ids, count);
         g_array_free(nodes, TRUE);
         return;
     }
-    for (guint i = 0; i < fan; i++) {
-        guint begin = i * nodes->len / fan;
-        guint end = (i + 1) * nodes->len / fan;
-        struct fleet_range part = {.hall = range->hall,
-                                   .first = i == 0 ? range->first : all[begin],
-                                   .last = i + 1 == fan ? range->last
-                                                        : all[end] - 1};
+    for (guint i = 0; i < width; i++) {
+        guint begin = i * nodes->len / width;
+        guint end = (i + 1) * nodes->len / width;
+        struct fleet_range subrange = {
+            .hall = range->hall,
+            .first = i == 0 ? range->first : all[begin],
+            .last = i + 1 == width ? range->last : all[end] - 1};
 
         fleet_deliver_to_relay(
-            fleet, now, fleet_relay_of(fleet, now, &part, WIRE_REACH_HALL),
-            &part, WIRE_REACH_HALL, ids, count);
+            fleet, now,
+            fleet_choose_relay(fleet, now, &subrange, WIRE_REACH_HALL),
+            &subrange, WIRE_REACH_HALL, ids, count);
     }
     g_array_free(nodes, TRUE);
 }
 
-/* Lists the other halls, each once. */
 static GArray *
-other_halls(const struct fleet *fleet)
+list_other_halls(const struct fleet *fleet)
 {
     GArray *halls = g_array_new(FALSE, FALSE, sizeof(uint32_t));
     GHashTableIter iter;
@@ -367,45 +353,43 @@
     g_hash_table_iter_init(&iter, fleet->members);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const struct fleet_member *member = value;
-        bool known = member->node.hall == fleet->self.hall;
+        bool seen = member->node.hall == fleet->self.hall;
 
-        for (guint i = 0; i < halls->len && !known; i++) {
-            known = g_array_index(halls, uint32_t, i) == member->node.hall;
+        for (guint i = 0; i < halls->len && !seen; i++) {
+            seen = g_array_index(halls, uint32_t, i) == member->node.hall;
         }
-        if (!known) {
+        if (!seen) {
             g_array_append_val(halls, member->node.hall);
         }
     }
     return halls;
 }
 
-/* Owes changes to a relay of each other hall. */
+/* Sends changes to one relay of each other hall. */
 static void
-to_other_halls(struct fleet *fleet, uint64_t now, const uint64_t *ids,
-               guint count)
+send_to_other_halls(struct fleet *fleet, uint64_t now, const uint64_t *ids,
+                    guint count)
 {
-    GArray *halls = other_halls(fleet);
+    GArray *halls = list_other_halls(fleet);
 
     for (guint i = 0; i < halls->len; i++) {
         struct fleet_range hall =
             whole_hall(g_array_index(halls, uint32_t, i));
 
         fleet_deliver_to_relay(
-            fleet, now, fleet_relay_of(fleet, now, &hall, WIRE_REACH_HALL),
+            fleet, now, fleet_choose_relay(fleet, now, &hall, WIRE_REACH_HALL),
             &hall, WIRE_REACH_HALL, ids, count);
     }
     g_array_free(halls, TRUE);
 }
 
-/* Says whether two ranges are the same. */
 static bool
-is_same(const struct fleet_range *one, const struct fleet_range *other)
+is_same_range(const struct fleet_range *one, const struct fleet_range *other)
 {
     return one->hall == other->hall && one->first == other->first &&
            one->last == other->last;
 }
 
-/* Adds an upstream to a list of them that has each once. */
 static void
 add_once(GArray *ids, uint64_t id)
 {
@@ -417,103 +401,101 @@
     g_array_append_val(ids, id);
 }
 
-/* Takes the changes that are owed to a range out of `passed`. */
+/* Removes the changes for a range from the queue; returns their ids without
+ * duplicates. */
 static GArray *
-take_of_range(GArray *passed, const struct fleet_range *range)
+take_for_range(GArray *queue, const struct fleet_range *range)
 {
     GArray *ids = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-    guint kept = 0;
+    guint remaining = 0;
 
-    for (guint i = 0; i < passed->len; i++) {
-        struct fleet_passed p = g_array_index(passed, struct fleet_passed, i);
+    for (guint i = 0; i < queue->len; i++) {
+        struct fleet_queued_change change =
+            g_array_index(queue, struct fleet_queued_change, i);
 
-        if (is_same(&p.range, range)) {
-            add_once(ids, p.id);
+        if (is_same_range(&change.range, range)) {
+            add_once(ids, change.id);
         }
         else {
-            g_array_index(passed, struct fleet_passed, kept++) = p;
+            g_array_index(queue, struct fleet_queued_change, remaining++) =
+                change;
         }
     }
-    g_array_set_size(passed, kept);
+    g_array_set_size(queue, remaining);
     return ids;
 }
 
-/* Lists the changes that are owed to the other halls. */
 static GArray *
-list_for_halls(const GArray *passed)
+list_for_other_halls(const GArray *queue)
 {
     GArray *ids = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 
-    for (guint i = 0; i < passed->len; i++) {
-        const struct fleet_passed *p =
-            &g_array_index(passed, struct fleet_passed, i);
+    for (guint i = 0; i < queue->len; i++) {
+        const struct fleet_queued_change *change =
+            &g_array_index(queue, struct fleet_queued_change, i);
 
-        if (p->halls) {
-            add_once(ids, p->id);
+        if (change->to_other_halls) {
+            add_once(ids, change->id);
         }
     }
     return ids;
 }
 
-/* Passes on what has gathered; to the other halls first, since their nodes
- * have a step more before them. */
+/* Other halls first, since their nodes are one hop further away. */
 static void
-pass_on(struct fleet *fleet, uint64_t now)
+send_queued(struct fleet *fleet, uint64_t now)
 {
-    GArray *passed = fleet->relay.passed;
-    GArray *ids = list_for_halls(passed);
+    GArray *queue = fleet->relay.queued;
+    GArray *ids = list_for_other_halls(queue);
 
     if (ids->len > 0 && !sends_to_all(fleet)) {
-        to_other_halls(fleet, now, (const uint64_t *)(void *)ids->data,
-                       ids->len);
+        send_to_other_halls(fleet, now, (const uint64_t *)(void *)ids->data,
+                            ids->len);
     }
     g_array_free(ids, TRUE);
-    while (passed->len > 0) {
+    while (queue->len > 0) {
         struct fleet_range range =
-            g_array_index(passed, struct fleet_passed, 0).range;
+            g_array_index(queue, struct fleet_queued_change, 0).range;
 
-        ids = take_of_range(passed, &range);
-        to_range(fleet, now, &range, (const uint64_t *)(void *)ids->data,
-                 ids->len);
+        ids = take_for_range(queue, &range);
+        send_to_range(fleet, now, &range, (const uint64_t *)(void *)ids->data,
+                      ids->len);
         g_array_free(ids, TRUE);
     }
 }
 
-/* Says when what has gathered may leave; UINT64_MAX: nothing has, or what left
- * before still waits for the link. So a node that changes come to faster than
- * it can pass them on sends more of them in a message, not more messages. */
+/* Waits until all deliveries were sent once, so that under load more changes
+ * share a message instead of adding messages. */
 uint64_t
 fleet_relay_due(const struct fleet *fleet)
 {
     const struct fleet_relay *relay = &fleet->relay;
     uint64_t at = relay->flush_at != 0 ? relay->flush_at : UINT64_MAX;
 
-    if (relay->told->len > 0) {
-        at = MIN(at, g_array_index(relay->told, struct fleet_told, 0).at);
+    if (relay->repeats->len > 0) {
+        at = MIN(at,
+                 g_array_index(relay->repeats, struct fleet_repeat, 0).due_at);
     }
     return relay->unsent > 0 ? UINT64_MAX : at;
 }
 
-/* Lets what has gathered leave. */
 static void
 flush(struct fleet *fleet, uint64_t now)
 {
     struct fleet_relay *relay = &fleet->relay;
 
-    take_told(fleet, now);
-    if (relay->own->len > 0) {
-        hand_over(fleet, now);
+    add_due_repeats(fleet, now);
+    if (relay->own_changes->len > 0) {
+        send_own_changes(fleet, now);
     }
-    pass_on(fleet, now);
+    send_queued(fleet, now);
     relay->flushed_at = now;
-    relay->flush_at = relay->own->len > 0 ? now + HOLD_MS : 0;
+    relay->flush_at = relay->own_changes->len > 0 ? now + RELAY_RETRY_MS : 0;
 }
 
-/* Lets what has gathered leave, when it is time to, and sends what is due.
- * What is sent may be the last that the next changes had to wait for, which
- * are due then. */
+/* Sending the last unsent delivery may make the next flush due. */
 void
-fleet_relay_move(struct fleet *fleet, uint64_t now)
+fleet_relay_run(struct fleet *fleet, uint64_t now)
 {
     fleet_deliver_due(fleet, now);
     while (now >= fleet_relay_due(fleet)) {
@@ -522,60 +504,63 @@
     }
 }
 
-/* Notes the number of a message; true when it was taken before. A number far
- * behind is one of a process that began anew. */
+/* Records a sequence number; true when it was received before. A number far
+ * below the window means that the sender has restarted. */
 static bool
-note_number(struct fleet_member *member, uint64_t number)
+is_duplicate(struct fleet_member *member, uint64_t number)
 {
-    uint64_t behind = member->taken - number;
-    uint64_t ahead = number - member->taken;
+    uint64_t behind = member->highest_number - number;
+    uint64_t ahead = number - member->highest_number;
 
-    if (behind < FLEET_TAKEN_BITS) {
-        bool before = (member->taken_bits >> behind & 1U) != 0;
+    if (behind < FLEET_DUPLICATE_WINDOW) {
+        bool received = (member->received_bits >> behind & 1U) != 0;
 
-        member->taken_bits |= 1ULL << behind;
-        return before;
+        member->received_bits |= 1ULL << behind;
+        return received;
     }
-    member->taken_bits =
-        ahead < FLEET_TAKEN_BITS ? member->taken_bits << ahead | 1 : 1;
-    member->taken = number;
+    member->received_bits = ahead < FLEET_DUPLICATE_WINDOW
+                                ? member->received_bits << ahead | 1
+                                : 1;
+    member->highest_number = number;
     return false;
 }
 
-/* Acknowledges a message, as `passed` on or not. */
+/* Acknowledges a message; without `will_relay` the sender chooses another
+ * relay. */
 static void
-acknowledge(struct fleet *fleet, const wire_spread *spread, bool passed)
+acknowledge(struct fleet *fleet, const wire_spread *spread, bool will_relay)
 {
     wire_msg msg = {.kind = WIRE_SPREAD_ACK};
 
-    msg.wire_msg_u.spread_ack.passed = passed;
+    msg.wire_msg_u.spread_ack.passed = will_relay;
     msg.wire_msg_u.spread_ack.node = fleet->self.address;
     msg.wire_msg_u.spread_ack.number = spread->number;
     fleet_send(fleet, spread->node, &msg);
 }
 
-/* Takes changes, and owes them to those whom they are to reach. */
 void
-fleet_take_spread(struct fleet *fleet, uint64_t now, const wire_spread *spread)
+fleet_handle_spread(struct fleet *fleet, uint64_t now,
+                    const wire_spread *spread)
 {
     struct fleet_member *member =
         g_hash_table_lookup(fleet->members, GUINT_TO_POINTER(spread->node));
     struct fleet_range range = {.hall = fleet->self.hall,
                                 .first = spread->first,
                                 .last = spread->last};
-    bool passes_on = spread->reach != WIRE_REACH_NODE;
+    bool must_relay = spread->reach != WIRE_REACH_NODE;
 
     for (u_int i = 0; i < spread->list.list_len; i++) {
         (void)upstream_merge(fleet->upstreams, now, &spread->list.list_val[i]);
     }
     acknowledge(fleet, spread, may_relay(fleet));
-    if (passes_on && !may_relay(fleet)) {
+    if (must_relay && !may_relay(fleet)) {
         return;
     }
-    if (member != NULL && note_number(member, spread->number)) {
+    if (member != NULL && is_duplicate(member, spread->number)) {
         return;
     }
-    for (u_int i = 0; passes_on && i < spread->list.list_len; i++) {
-        owe(fleet, now, spread->reach, &range, spread->list.list_val[i].id);
+    for (u_int i = 0; must_relay && i < spread->list.list_len; i++) {
+        enqueue(fleet, now, spread->reach, &range,
+                spread->list.list_val[i].id);
     }
 }
--- a/fleet-resolve.c
+++ b/fleet-resolve.c
@@ -1,9 +1,7 @@
 /*
- * Upstreams that open flows name and this node does not know yet: it has just
- * begun, and its inventory is on the way. Nodes with a disk know them from
- * their last run, so those few are asked for at once, and the flows go on
- * while the rest arrives. What is asked for grows with the packets that wait,
- * not with the inventory.
+ * On-demand lookup of upstreams that packets of open flows name while this
+ * node's inventory is incomplete after a start. Requests go to nodes with a
+ * disk, whose inventory survives a restart.
  */
 #include "fleet-internal.h"
 
@@ -11,20 +9,18 @@
 #include "hash.h"
 #include "random.h"
 
-/* An upstream is asked for again, of another node, after so long: the answer
- * takes a few ms, and packets that wait are dropped after 500. */
-#define AGAIN_MS 100U
-/* So many times; then nobody knows it, or its packets have been dropped. */
-#define ASKED_TIMES 4U
-/* Upstreams that are asked for at a time, at most. */
-#define SOUGHT_MOST 256U
+/* Time until a request is repeated, to another random node. */
+#define RETRY_MS 100U
+/* Requests per lookup. */
+#define TRIES_MAX 4U
+/* Lookups at the same time. */
+#define LOOKUPS_MAX 256U
 
-/* Says whether an upstream is asked for now. */
 static bool
-is_sought(const struct fleet *fleet, uint32_t token)
+is_pending(const struct fleet *fleet, uint32_t token)
 {
-    for (guint i = 0; i < fleet->sought->len; i++) {
-        if (g_array_index(fleet->sought, struct fleet_sought, i).token ==
+    for (guint i = 0; i < fleet->lookups->len; i++) {
+        if (g_array_index(fleet->lookups, struct fleet_lookup, i).token ==
             token) {
             return true;
         }
@@ -32,21 +28,21 @@
     return false;
 }
 
-/* Asks for the upstream of an open flow, soon. */
 void
 fleet_resolve(struct fleet *fleet, uint64_t now, uint32_t token)
 {
-    struct fleet_sought sought = {.token = token, .at = now};
+    struct fleet_lookup lookup = {.token = token, .send_at = now};
 
-    if (!is_sought(fleet, token) && fleet->sought->len < SOUGHT_MOST &&
+    if (!is_pending(fleet, token) && fleet->lookups->len < LOOKUPS_MAX &&
         !fault_is(FAULT_NO_RESOLVE)) {
-        g_array_append_val(fleet->sought, sought);
+        g_array_append_val(fleet->lookups, lookup);
     }
 }
 
-/* A node with a disk, in this data hall if there is one; else a seed. */
+/* A random node with a disk, preferably in this data hall, else a random seed.
+ */
 static uint32_t
-whom_to_ask(struct fleet *fleet)
+choose_node(struct fleet *fleet)
 {
     uint64_t seed = random_next(&fleet->random);
     uint64_t best_rank = 0;
@@ -75,46 +71,45 @@
     return best;
 }
 
-/* When something is to be asked for, again or for the first time. */
 uint64_t
 fleet_resolve_due(const struct fleet *fleet)
 {
     uint64_t at = UINT64_MAX;
 
-    for (guint i = 0; i < fleet->sought->len; i++) {
-        at = MIN(at, g_array_index(fleet->sought, struct fleet_sought, i).at);
+    for (guint i = 0; i < fleet->lookups->len; i++) {
+        at = MIN(
+            at, g_array_index(fleet->lookups, struct fleet_lookup, i).send_at);
     }
     return at;
 }
 
-/* Lists what is to be asked for now; what came meanwhile, or never comes, is
- * sought no more. */
+/* Lists the tokens to request now; removes lookups that are resolved or have
+ * failed. */
 static void
 list_due(struct fleet *fleet, uint64_t now, GArray *tokens)
 {
-    GArray *all = fleet->sought;
+    GArray *all = fleet->lookups;
 
     for (guint i = all->len; i > 0; i--) {
-        struct fleet_sought *sought =
-            &g_array_index(all, struct fleet_sought, i - 1);
+        struct fleet_lookup *lookup =
+            &g_array_index(all, struct fleet_lookup, i - 1);
 
-        if (now < sought->at) {
+        if (now < lookup->send_at) {
             continue;
         }
-        if (sought->times == ASKED_TIMES ||
-            upstream_by_token(fleet->upstreams, sought->token) != NULL) {
+        if (lookup->tries == TRIES_MAX ||
+            upstream_by_token(fleet->upstreams, lookup->token) != NULL) {
             g_array_remove_index_fast(all, i - 1);
             continue;
         }
-        sought->times++;
-        sought->at = now + AGAIN_MS;
-        g_array_append_val(tokens, sought->token);
+        lookup->tries++;
+        lookup->send_at = now + RETRY_MS;
+        g_array_append_val(tokens, lookup->token);
     }
 }
 
-/* Asks for what is due. */
 void
-fleet_resolve_now(struct fleet *fleet, uint64_t now)
+fleet_resolve_send(struct fleet *fleet, uint64_t now)
 {
     wire_msg msg = {.kind = WIRE_NEED};
     wire_need *need = &msg.wire_msg_u.need;
@@ -129,7 +124,7 @@
         need->node = fleet->self.address;
         need->tokens.tokens_val = (u_int *)(void *)tokens->data;
         need->tokens.tokens_len = tokens->len;
-        fleet_send(fleet, whom_to_ask(fleet), &msg);
+        fleet_send(fleet, choose_node(fleet), &msg);
     }
     g_array_free(tokens, TRUE);
 }
--- a/fleet-send.c
+++ b/fleet-send.c
@@ -1,6 +1,6 @@
 /*
- * What a node tells others: hellos, and members and upstreams that changed or
- * that another node lacks.
+ * Outgoing messages: hellos, member lists, upstream records, suspicions and
+ * drained halls.
  */
 #include "fleet-internal.h"
 
@@ -9,22 +9,19 @@
 #include "codec.h"
 #include "fault.h"
 
-/* Records of upstreams in one message: 40 bytes and two names each, so that
- * it takes about 20 ms on a link of 2.2 Mbit/s. */
-#define RECORDS_A_MESSAGE 80
+/* Limits a message to about 20 ms on a link of 2.2 Mbit/s. */
+#define RECORDS_PER_MESSAGE 80
 
-/* Sends an encoded message, which is shared. */
 void
 fleet_send_encoded(struct fleet *fleet, uint32_t to, GByteArray *bytes)
 {
-    struct fleet_action *action = fleet_act(fleet, FLEET_SEND);
+    struct fleet_action *action = fleet_add_action(fleet, FLEET_SEND);
 
     fleet->bytes_sent += bytes->len;
     action->to = to;
     action->bytes = g_byte_array_ref(bytes);
 }
 
-/* Sends a message. */
 void
 fleet_send(struct fleet *fleet, uint32_t to, wire_msg *msg)
 {
@@ -38,7 +35,7 @@
     g_byte_array_unref(bytes);
 }
 
-/* Sends a message to all members; it is encoded once. */
+/* Encodes a message once for all members. */
 static void
 send_to_all(struct fleet *fleet, wire_msg *msg)
 {
@@ -54,30 +51,27 @@
     g_byte_array_unref(bytes);
 }
 
-/* LEADER: tells all members which halls are emptied. A node that this does
- * not reach is told by the next hello of any other, within half a second;
- * by hellos alone all wait for theirs. It is 60 bytes for each node and a hall
- * more, so 100 KB to 1,700 nodes: 8 ms of a link of 100 Mbit/s. */
+/* A member that misses the message receives the halls with the next hello. */
 void
 fleet_push_halls(struct fleet *fleet)
 {
     wire_msg msg = {.kind = WIRE_HALLS};
-    wire_hall room[HALL_MAX];
+    wire_hall buffer[HALL_MAX];
 
     if (fault_is(FAULT_NO_HALL_PUSH)) {
         return;
     }
-    hall_pack(&fleet->upstreams->halls, room, &msg.wire_msg_u.halls);
+    hall_pack(&fleet->upstreams->halls, buffer, &msg.wire_msg_u.halls);
     send_to_all(fleet, &msg);
 }
 
-/* Sends what this node knows. */
+/* `wants` requests the data that this node lacks. */
 static void
 send_hello(struct fleet *fleet, uint32_t to, bool reply, bool wants)
 {
     wire_msg msg = {.kind = WIRE_HELLO};
     wire_hello *hello = &msg.wire_msg_u.hello;
-    wire_hall room[HALL_MAX];
+    wire_hall buffer[HALL_MAX];
     wire_halls halls;
 
     hello->self = fleet->self;
@@ -89,27 +83,25 @@
     hello->routes = fleet->routes.bundle_version;
     hello->members = fleet_members_digest(fleet);
     upstream_digests(fleet->upstreams, hello->upstreams);
-    hall_pack(&fleet->upstreams->halls, room, &halls);
+    hall_pack(&fleet->upstreams->halls, buffer, &halls);
     hello->halls = halls.revision != 0 ? &halls : NULL;
     fleet_send(fleet, to, &msg);
 }
 
-/* Tells another node what this one knows. A node that begins does not want
- * what it lacks of all whom it greets, or each would send all of it. */
+/* A starting node requests data with fleet_request_sync() only, or each
+ * receiver of a hello would send all of it. */
 void
 fleet_send_hello(struct fleet *fleet, uint32_t to, bool reply)
 {
     send_hello(fleet, to, reply, fleet->settled || fault_is(FAULT_NO_ASK));
 }
 
-/* Asks another node for what this one lacks. */
 void
-fleet_ask(struct fleet *fleet, uint32_t to)
+fleet_request_sync(struct fleet *fleet, uint32_t to)
 {
     send_hello(fleet, to, false, true);
 }
 
-/* Sends all members. */
 void
 fleet_send_members(struct fleet *fleet, uint32_t to)
 {
@@ -132,7 +124,6 @@
     g_free(nodes);
 }
 
-/* LEADER: tells all members who is new. */
 void
 fleet_push_joined(struct fleet *fleet)
 {
@@ -157,43 +148,42 @@
     g_free(nodes);
 }
 
-/* Sends records of upstreams, in as many messages as they need. */
 void
 fleet_send_upstreams(struct fleet *fleet, uint32_t to, wire_upstream *records,
                      guint count)
 {
-    for (guint at = 0; at < count; at += RECORDS_A_MESSAGE) {
+    for (guint at = 0; at < count; at += RECORDS_PER_MESSAGE) {
         wire_msg msg = {.kind = WIRE_UPSTREAMS};
 
         msg.wire_msg_u.upstreams.list.list_val = records + at;
         msg.wire_msg_u.upstreams.list.list_len =
-            MIN(count - at, RECORDS_A_MESSAGE);
+            MIN(count - at, RECORDS_PER_MESSAGE);
         fleet_send(fleet, to, &msg);
     }
 }
 
-/* Owes the members to the node of a hello. The leader's list is whole; while
- * none leads, any node helps one that begins. Who is new is told to all, so a
- * settled node is owed the list only when it still lacks it at its next
- * hello. */
+/* A starting node is served by the leader, or by any node while there is none.
+ * A settled node receives announcements of new members and is served only when
+ * its digest differs in two successive hellos. */
 void
-fleet_owe_members(struct fleet *fleet, const wire_hello *hello,
-                  struct fleet_member *member)
+fleet_enqueue_members(struct fleet *fleet, const wire_hello *hello,
+                      struct fleet_member *member)
 {
     bool differs = hello->members != fleet_members_digest(fleet);
-    bool begins = (hello->flags & WIRE_HELLO_SETTLED) == 0;
+    bool starting = (hello->flags & WIRE_HELLO_SETTLED) == 0;
 
     if (differs &&
-        (begins ? fleet->leads_since != 0 || fleet->leader == 0
-                : fleet->leads_since != 0 && member->lacks_members)) {
-        fleet_owe(fleet, hello->self.address, FLEET_OWE_MEMBERS, begins);
+        (starting ? fleet->leads_since != 0 || fleet->leader == 0
+                  : fleet->leads_since != 0 && member->members_differ)) {
+        fleet_transfer_enqueue(fleet, hello->self.address,
+                               FLEET_TRANSFER_MEMBERS, starting);
     }
-    member->lacks_members = differs;
+    member->members_differ = differs;
 }
 
-/* Takes a node's word about an upstream. */
 void
-fleet_take_doubt(struct fleet *fleet, uint64_t now, const wire_doubt *doubt)
+fleet_handle_suspicion(struct fleet *fleet, uint64_t now,
+                       const wire_doubt *doubt)
 {
     if (doubt->too_soon) {
         upstream_report_outlier(fleet->upstreams, now, doubt->id, doubt->node);
@@ -204,9 +194,9 @@
     }
 }
 
-/* Tells this node's doubts to the nodes that hear those upstreams. */
+/* Sends suspicions to the keepers of their upstreams and records them here. */
 static void
-send_doubts(struct fleet *fleet, uint64_t now)
+send_suspicions(struct fleet *fleet, uint64_t now)
 {
     struct upstream_set *set = fleet->upstreams;
 
@@ -224,15 +214,15 @@
         msg.wire_msg_u.doubt.quiet_ms = doubt->quiet_ms;
         msg.wire_msg_u.doubt.too_soon = doubt->outlier;
         fleet_send(fleet, u->keeper, &msg);
-        fleet_take_doubt(fleet, now, &msg.wire_msg_u.doubt);
+        fleet_handle_suspicion(fleet, now, &msg.wire_msg_u.doubt);
     }
     g_array_set_size(set->suspicions, 0);
 }
 
-/* Asks two members drawn by lot, and the leader, for upstreams that this node
- * is not sure of. */
+/* Requests records that may be out of date from two random members and the
+ * leader. */
 static void
-ask_unsure(struct fleet *fleet)
+request_unsure(struct fleet *fleet)
 {
     GArray *unsure = fleet->upstreams->queries;
     wire_msg msg = {.kind = WIRE_NEED};
@@ -250,18 +240,18 @@
     g_array_set_size(unsure, 0);
 }
 
-/* Sends what changed in the inventory on its way. */
 void
-fleet_spread(struct fleet *fleet, uint64_t now)
+fleet_broadcast_changes(struct fleet *fleet, uint64_t now)
 {
     GArray *changed = fleet->upstreams->changed;
 
-    send_doubts(fleet, now);
-    ask_unsure(fleet);
-    fleet_resolve_now(fleet, now);
+    send_suspicions(fleet, now);
+    request_unsure(fleet);
+    fleet_resolve_send(fleet, now);
     for (guint i = 0; i < changed->len; i++) {
-        fleet_relay_tell(fleet, now, g_array_index(changed, uint64_t, i));
+        fleet_relay_add_change(fleet, now,
+                               g_array_index(changed, uint64_t, i));
     }
     g_array_set_size(changed, 0);
-    fleet_relay_move(fleet, now);
+    fleet_relay_run(fleet, now);
 }
--- a/fleet-transfer.c
+++ b/fleet-transfer.c
@@ -1,47 +1,42 @@
 /*
- * What a node owes others that is large: the routing table, the inventory and
- * the list of members. Each node is owed each of them once, whatever its
- * hellos say meanwhile, since a copy may be on its way or being read. Copies
- * leave in turn and take a share of the link, so that rounds of consensus,
- * hellos and callers' packets do not wait behind them; a quorum that waits
- * behind copies loses its leader, and all who then look for one ask for more.
+ * Rate-limited transfers of routing tables, inventories and member lists. Each
+ * node has at most one transfer of each item queued, however many hellos
+ * request it. The rate limit keeps consensus, hellos and callers' packets from
+ * queuing behind transfers.
  */
 #include "fleet-internal.h"
 
 #include "fault.h"
 
-/* The place of a node among those that are owed something; a new one at the
- * end, without anything yet, when it has none. */
-static struct fleet_owed *
-owed_to(struct fleet *fleet, uint32_t to)
+static struct fleet_transfer *
+find_or_add_transfer(struct fleet *fleet, uint32_t to)
 {
-    struct fleet_owed none = {.to = to};
+    struct fleet_transfer none = {.to = to};
 
-    for (guint i = 0; i < fleet->owed->len; i++) {
-        struct fleet_owed *owed =
-            &g_array_index(fleet->owed, struct fleet_owed, i);
+    for (guint i = 0; i < fleet->transfers->len; i++) {
+        struct fleet_transfer *transfer =
+            &g_array_index(fleet->transfers, struct fleet_transfer, i);
 
-        if (owed->to == to) {
-            return owed;
+        if (transfer->to == to) {
+            return transfer;
         }
     }
-    g_array_append_val(fleet->owed, none);
-    return &g_array_index(fleet->owed, struct fleet_owed,
-                          fleet->owed->len - 1);
+    g_array_append_val(fleet->transfers, none);
+    return &g_array_index(fleet->transfers, struct fleet_transfer,
+                          fleet->transfers->len - 1);
 }
 
-/* A node is owed something; one that begins is before the others. */
 void
-fleet_owe(struct fleet *fleet, uint32_t to, enum fleet_bulk what, bool begins)
+fleet_transfer_enqueue(struct fleet *fleet, uint32_t to,
+                       enum fleet_transfer_item items, bool starting)
 {
-    struct fleet_owed *owed = owed_to(fleet, to);
+    struct fleet_transfer *transfer = find_or_add_transfer(fleet, to);
 
-    owed->what |= (unsigned)what;
-    owed->begins = owed->begins || begins;
+    transfer->items |= (unsigned)items;
+    transfer->starting = transfer->starting || starting;
 }
 
-/* LEADER: owes the table to all members that showed an older one. Those with a
- * disk hold it by consensus. */
+/* Members with a disk receive the table by consensus. */
 void
 fleet_push_table(struct fleet *fleet, uint64_t now)
 {
@@ -56,14 +51,15 @@
 
         if (member->node.identity == 0 &&
             member->routes < fleet->routes.bundle_version) {
-            fleet_owe(fleet, member->node.address, FLEET_OWE_TABLE, false);
+            fleet_transfer_enqueue(fleet, member->node.address,
+                                   FLEET_TRANSFER_TABLE, false);
         }
     }
 }
 
-/* Sends the table, unless the node has shown it since. */
+/* Skips a receiver that has the table by now. */
 static void
-pay_table(struct fleet *fleet, const struct fleet_member *member)
+send_table(struct fleet *fleet, const struct fleet_member *member)
 {
     wire_msg msg = {.kind = WIRE_TABLE, .wire_msg_u.table = fleet->routes};
 
@@ -72,127 +68,125 @@
     }
 }
 
-/* Sends what one node is owed, as far as its last hello shows that it still
- * lacks it. */
 static void
-pay_one(struct fleet *fleet, uint64_t now, const struct fleet_owed *owed)
+send_transfer(struct fleet *fleet, uint64_t now,
+              const struct fleet_transfer *transfer)
 {
     const struct fleet_member *member =
-        g_hash_table_lookup(fleet->members, GUINT_TO_POINTER(owed->to));
+        g_hash_table_lookup(fleet->members, GUINT_TO_POINTER(transfer->to));
 
     if (member == NULL) {
         return;
     }
-    if (owed->what & FLEET_OWE_TABLE) {
-        pay_table(fleet, member);
+    if (transfer->items & FLEET_TRANSFER_TABLE) {
+        send_table(fleet, member);
     }
-    if (owed->what & FLEET_OWE_MEMBERS) {
-        fleet_send_members(fleet, owed->to);
+    if (transfer->items & FLEET_TRANSFER_MEMBERS) {
+        fleet_send_members(fleet, transfer->to);
     }
-    if (owed->what & FLEET_OWE_UPSTREAMS) {
-        fleet_send_differing(fleet, now, owed->to, member->upstreams);
+    if (transfer->items & FLEET_TRANSFER_UPSTREAMS) {
+        fleet_send_differences(fleet, now, transfer->to, member->upstreams);
     }
 }
 
-/* Finds who is paid next: the table of a node that begins is a hundredth of an
- * inventory, and no first packet is placed without it; then all of those that
- * begin; then others. Who waits longest is first. */
+/* Serves tables of starting nodes first, since a node without one forwards no
+ * packet, then starting nodes, then the others; each in queue order. */
 static guint
-next_owed(const struct fleet *fleet)
+next_transfer(const struct fleet *fleet)
 {
-    guint first_begins = 0;
-    bool any_begins = false;
+    guint first_starting = 0;
+    bool any_starting = false;
 
-    for (guint i = 0; i < fleet->owed->len; i++) {
-        const struct fleet_owed *owed =
-            &g_array_index(fleet->owed, struct fleet_owed, i);
+    for (guint i = 0; i < fleet->transfers->len; i++) {
+        const struct fleet_transfer *transfer =
+            &g_array_index(fleet->transfers, struct fleet_transfer, i);
 
-        if (owed->begins && (owed->what & FLEET_OWE_TABLE) != 0) {
+        if (transfer->starting &&
+            (transfer->items & FLEET_TRANSFER_TABLE) != 0) {
             return i;
         }
-        if (owed->begins && !any_begins) {
-            first_begins = i;
-            any_begins = true;
+        if (transfer->starting && !any_starting) {
+            first_starting = i;
+            any_starting = true;
         }
     }
-    return first_begins;
+    return first_starting;
 }
 
-/* Takes what is paid next: the table alone, or all that a node is owed. */
-static struct fleet_owed
-take_owed(struct fleet *fleet)
+/* Removes the next transfer. The table of a starting node is split off and
+ * sent ahead of its other items. */
+static struct fleet_transfer
+dequeue(struct fleet *fleet)
 {
-    guint place = next_owed(fleet);
-    struct fleet_owed *next =
-        &g_array_index(fleet->owed, struct fleet_owed, place);
-    struct fleet_owed taken = *next;
+    guint index = next_transfer(fleet);
+    struct fleet_transfer *next =
+        &g_array_index(fleet->transfers, struct fleet_transfer, index);
+    struct fleet_transfer dequeued = *next;
 
-    if (next->begins && (next->what & FLEET_OWE_TABLE) != 0 &&
-        next->what != FLEET_OWE_TABLE) {
-        taken.what = FLEET_OWE_TABLE;
-        next->what &= ~(unsigned)FLEET_OWE_TABLE;
+    if (next->starting && (next->items & FLEET_TRANSFER_TABLE) != 0 &&
+        next->items != FLEET_TRANSFER_TABLE) {
+        dequeued.items = FLEET_TRANSFER_TABLE;
+        next->items &= ~(unsigned)FLEET_TRANSFER_TABLE;
     }
     else {
-        g_array_remove_index(fleet->owed, place);
+        g_array_remove_index(fleet->transfers, index);
     }
-    return taken;
+    return dequeued;
 }
 
-/* Sends the copies that the link has room for. */
 void
-fleet_pay(struct fleet *fleet, uint64_t now)
+fleet_transfer_send(struct fleet *fleet, uint64_t now)
 {
-    while (fleet->owed->len > 0 && now >= fleet->pay_at) {
-        struct fleet_owed owed = take_owed(fleet);
+    while (fleet->transfers->len > 0 && now >= fleet->transfer_at) {
+        struct fleet_transfer transfer = dequeue(fleet);
         uint64_t before = fleet->bytes_sent;
 
-        pay_one(fleet, now, &owed);
-        fleet_note_bulk(fleet, now, fleet->bytes_sent - before);
+        send_transfer(fleet, now, &transfer);
+        fleet_count_bulk(fleet, now, fleet->bytes_sent - before);
     }
 }
 
-/* Counts bytes of copies: the next one may leave once the link had time for
- * them. */
+/* Delays the next transfer by the link time of `bytes`. */
 void
-fleet_note_bulk(struct fleet *fleet, uint64_t now, uint64_t bytes)
+fleet_count_bulk(struct fleet *fleet, uint64_t now, uint64_t bytes)
 {
-    if (fleet->bulk_bytes_ms == 0 || fault_is(FAULT_NO_PACE)) {
+    if (fleet->bulk_bytes_per_ms == 0 || fault_is(FAULT_NO_PACE)) {
         return;
     }
     fleet->bulk_bytes += bytes;
-    fleet->pay_at =
-        MAX(fleet->pay_at, now) + fleet->bulk_bytes / fleet->bulk_bytes_ms;
-    fleet->bulk_bytes %= fleet->bulk_bytes_ms;
+    fleet->transfer_at = MAX(fleet->transfer_at, now) +
+                         fleet->bulk_bytes / fleet->bulk_bytes_per_ms;
+    fleet->bulk_bytes %= fleet->bulk_bytes_per_ms;
 }
 
-/* Asks a node that shows a newer table. One that begins asks for all that it
- * lacks, elsewhere. */
+/* A starting node uses sync requests instead. */
 void
-fleet_see_table(struct fleet *fleet, uint64_t now, const wire_hello *hello)
+fleet_request_newer_table(struct fleet *fleet, uint64_t now,
+                          const wire_hello *hello)
 {
     wire_msg msg = {.kind = WIRE_TABLE_ASK};
 
     if (!fleet->settled || hello->routes <= fleet->routes.bundle_version) {
         return;
     }
-    if (fleet->seen_routes <= fleet->routes.bundle_version) {
-        fleet->ask_table_at = now + FLEET_TABLE_WAIT_MS;
+    if (fleet->highest_seen_routes <= fleet->routes.bundle_version) {
+        fleet->request_table_at = now + FLEET_TABLE_WAIT_MS;
     }
-    fleet->seen_routes = MAX(fleet->seen_routes, hello->routes);
-    if (now < fleet->ask_table_at) {
+    fleet->highest_seen_routes =
+        MAX(fleet->highest_seen_routes, hello->routes);
+    if (now < fleet->request_table_at) {
         return;
     }
-    fleet->ask_table_at = now + FLEET_TABLE_AGAIN_MS;
+    fleet->request_table_at = now + FLEET_TABLE_RETRY_MS;
     msg.wire_msg_u.table_ask.node = fleet->self.address;
     msg.wire_msg_u.table_ask.routes = fleet->routes.bundle_version;
     fleet_send(fleet, hello->self.address, &msg);
 }
 
-/* Another node asks for the table. */
 void
-fleet_take_table_ask(struct fleet *fleet, const wire_table_ask *ask)
+fleet_handle_table_ask(struct fleet *fleet, const wire_table_ask *ask)
 {
     if (ask->routes < fleet->routes.bundle_version) {
-        fleet_owe(fleet, ask->node, FLEET_OWE_TABLE, false);
+        fleet_transfer_enqueue(fleet, ask->node, FLEET_TRANSFER_TABLE, false);
     }
 }
--- a/fleet.c
+++ b/fleet.c
@@ -1,7 +1,7 @@
 /*
- * The life of a node in its fleet: whom it greets, who leads, who founds the
- * quorum, and what a hello tells. Knows nothing of sockets, consensus or
- * packets.
+ * Fleet membership of one node: leader tracking, choice of the founder,
+ * hellos, sync of a starting node and dispatch of messages. Independent of
+ * sockets, consensus and packets.
  */
 #include "fleet-internal.h"
 
@@ -9,13 +9,11 @@
 
 #include "fault.h"
 
-/* LEADER: between two looks for members that are lost: it walks all members
- * and upstreams, and FLEET_LOST_MS is long beside it. */
-#define WATCH_MS 250U
+/* LEADER: each run walks all members and upstreams. */
+#define EXPIRE_INTERVAL_MS 250U
 
-/* Adds an action. */
 struct fleet_action *
-fleet_act(struct fleet *fleet, enum fleet_action_kind kind)
+fleet_add_action(struct fleet *fleet, enum fleet_action_kind kind)
 {
     struct fleet_action action = {.kind = kind};
 
@@ -24,7 +22,6 @@
                           fleet->actions->len - 1);
 }
 
-/* Starts alone. */
 void
 fleet_open(struct fleet *fleet, uint64_t now,
            const struct fleet_options *options, struct upstream_set *upstreams)
@@ -41,37 +38,36 @@
     fleet->hello_at = now;
     fleet->upstreams = upstreams;
     fleet->addresses = g_array_new(FALSE, FALSE, sizeof(uint32_t));
-    fleet->neighbours = g_array_new(FALSE, FALSE, sizeof(uint32_t));
+    fleet->hall_addresses = g_array_new(FALSE, FALSE, sizeof(uint32_t));
     fleet->members =
         g_hash_table_new_full(g_direct_hash, g_direct_equal, NULL, g_free);
     fleet->actions = g_array_new(FALSE, TRUE, sizeof(struct fleet_action));
     fleet->joined = g_array_new(FALSE, FALSE, sizeof(uint32_t));
-    fleet->unheard = g_array_new(FALSE, FALSE, sizeof(uint32_t));
-    fleet->sought = g_array_new(FALSE, FALSE, sizeof(struct fleet_sought));
-    fleet->owed = g_array_new(FALSE, FALSE, sizeof(struct fleet_owed));
-    fleet->bulk_bytes_ms =
+    fleet->uncontacted = g_array_new(FALSE, FALSE, sizeof(uint32_t));
+    fleet->lookups = g_array_new(FALSE, FALSE, sizeof(struct fleet_lookup));
+    fleet->transfers =
+        g_array_new(FALSE, FALSE, sizeof(struct fleet_transfer));
+    fleet->bulk_bytes_per_ms =
         (uint32_t)(options->link_kbit_s / 8 / FLEET_BULK_SHARE);
     fleet_relay_open(fleet, options->seed);
 }
 
-/* Frees it. */
 void
 fleet_close(struct fleet *fleet)
 {
     fleet_clear(fleet);
     g_hash_table_destroy(fleet->members);
     g_array_free(fleet->addresses, TRUE);
-    g_array_free(fleet->neighbours, TRUE);
+    g_array_free(fleet->hall_addresses, TRUE);
     g_array_free(fleet->actions, TRUE);
     g_array_free(fleet->joined, TRUE);
-    g_array_free(fleet->unheard, TRUE);
-    g_array_free(fleet->sought, TRUE);
-    g_array_free(fleet->owed, TRUE);
+    g_array_free(fleet->uncontacted, TRUE);
+    g_array_free(fleet->lookups, TRUE);
+    g_array_free(fleet->transfers, TRUE);
     fleet_relay_close(fleet);
     g_free(fleet->routes.packed.packed_val);
 }
 
-/* Sets whom to ask first. */
 void
 fleet_set_seeds(struct fleet *fleet, const uint32_t *seeds, size_t count)
 {
@@ -79,7 +75,6 @@
     memcpy(fleet->seeds, seeds, fleet->seed_count * sizeof(*seeds));
 }
 
-/* Notes a node that is known from elsewhere. */
 void
 fleet_add_contact(struct fleet *fleet, uint32_t address)
 {
@@ -93,12 +88,12 @@
     }
 }
 
-/* Takes another node's word about the leader. */
+/* Adopts a leader of a higher term; `from_leader` restarts its timeout. */
 static void
-note_leader(struct fleet *fleet, uint64_t now, uint64_t term, uint32_t leader,
-            bool first_hand)
+update_leader(struct fleet *fleet, uint64_t now, uint64_t term,
+              uint32_t leader, bool from_leader)
 {
-    fleet->founded = fleet->founded || term != 0;
+    fleet->bootstrapped = fleet->bootstrapped || term != 0;
     if (fleet->leads_since != 0 || leader == 0 || term < fleet->term ||
         leader == fleet->self.address) {
         return;
@@ -106,25 +101,24 @@
     if (term > fleet->term || fleet->leader == 0) {
         fleet->term = term;
         fleet->leader = leader;
-        fleet->leader_heard_at = now;
+        fleet->leader_seen_at = now;
         fleet_send_hello(fleet, leader, false);
     }
-    if (first_hand && leader == fleet->leader) {
-        fleet->leader_heard_at = now;
+    if (from_leader && leader == fleet->leader) {
+        fleet->leader_seen_at = now;
     }
 }
 
-/* Says who leads. */
 void
 fleet_set_leader(struct fleet *fleet, uint64_t now, uint64_t term,
                  uint32_t leader)
 {
     if (leader != fleet->self.address) {
         fleet->leads_since = 0;
-        /* Whoever leads pushes; kept here, the deadline would never be met
-         * and the loop would turn without a pause. */
+        /* Only the leader pushes the table; a deadline left here would stay in
+         * the past and make the event loop spin. */
         fleet->push_at = 0;
-        note_leader(fleet, now, term, leader, true);
+        update_leader(fleet, now, term, leader, true);
         if (leader == 0 && fleet->leader == fleet->self.address) {
             fleet->leader = 0;
         }
@@ -133,19 +127,18 @@
     if (fleet->leads_since == 0) {
         fleet->leads_since = now;
         fleet->push_at = now;
-        fleet->joined_at = MAX(now, fleet->joined_at);
-        /* The leader before may have ended between the two. */
+        fleet->push_joined_at = MAX(now, fleet->push_joined_at);
+        /* The previous leader may have failed between commit and push. */
         if (fleet->upstreams->halls.revision != 0) {
             fleet_push_halls(fleet);
         }
     }
     fleet->term = term;
-    fleet->founded = true;
+    fleet->bootstrapped = true;
     fleet->leader = leader;
-    fleet->leader_heard_at = now;
+    fleet->leader_seen_at = now;
 }
 
-/* Takes a committed table. */
 bool
 fleet_set_routes(struct fleet *fleet, uint64_t now, const wire_routes *routes)
 {
@@ -159,33 +152,33 @@
     own->packed.packed_val =
         g_memdup2(routes->packed.packed_val, routes->packed.packed_len);
     if (fleet->leads_since != 0) {
-        fleet->push_at = MAX(now, fleet->pushed_at + FLEET_PUSH_MS);
+        fleet->push_at = MAX(now, fleet->pushed_at + FLEET_PUSH_INTERVAL_MS);
     }
-    fleet_act(fleet, FLEET_TABLE)->version = own->bundle_version;
+    fleet_add_action(fleet, FLEET_TABLE)->version = own->bundle_version;
     return true;
 }
 
-/* Takes which halls are emptied from another node, or from the own voter. */
+/* Applies drained halls from a peer or the local voter; false when they are
+ * not newer. */
 static bool
-take_halls(struct fleet *fleet, uint64_t now, const wire_halls *halls)
+merge_halls(struct fleet *fleet, uint64_t now, const wire_halls *halls)
 {
     if (!upstream_drain_halls(fleet->upstreams, now, halls)) {
         return false;
     }
-    fleet_act(fleet, FLEET_HALLS);
+    fleet_add_action(fleet, FLEET_HALLS);
     return true;
 }
 
-/* Takes committed orders about halls. */
 bool
 fleet_set_halls(struct fleet *fleet, uint64_t now,
                 const struct hall_set *halls)
 {
-    wire_hall room[HALL_MAX];
+    wire_hall buffer[HALL_MAX];
     wire_halls packed;
 
-    hall_pack(halls, room, &packed);
-    if (!take_halls(fleet, now, &packed)) {
+    hall_pack(halls, buffer, &packed);
+    if (!merge_halls(fleet, now, &packed)) {
         return false;
     }
     if (fleet->leads_since != 0) {
@@ -194,7 +187,6 @@
     return true;
 }
 
-/* Nodes that hold the emptied halls of this node's list. */
 guint
 fleet_count_halls_in_force(const struct fleet *fleet)
 {
@@ -210,7 +202,6 @@
     return count;
 }
 
-/* Announces the end of this node. */
 void
 fleet_stop(struct fleet *fleet, uint64_t now)
 {
@@ -218,9 +209,9 @@
     fleet->hello_at = now;
 }
 
-/* Greets the seeds, and the disks that are known, to find a leader. */
+/* Sends hellos to the seeds and to the members with a disk. */
 static void
-seek(struct fleet *fleet)
+discover_leader(struct fleet *fleet)
 {
     GHashTableIter iter;
     gpointer value;
@@ -238,15 +229,13 @@
     }
 }
 
-/* Says whether this node names the founder: the lowest of the seeds does,
- * which are the same for all at the first start. Once a leader was known the
- * deployment is founded; that none is heard now says nothing of it, and a
- * founder that lost its disk would found a second quorum, by the identity that
- * it had in the first. */
+/* True on the first start for the node with the lowest address among the
+ * seeds, unless a leader has existed: a founder that lost its disk would
+ * bootstrap a second quorum under its old identity. */
 static bool
-names_founder(const struct fleet *fleet)
+chooses_founder(const struct fleet *fleet)
 {
-    if (fleet->founded && !fault_is(FAULT_FOUND_AGAIN)) {
+    if (fleet->bootstrapped && !fault_is(FAULT_FOUND_AGAIN)) {
         return false;
     }
     for (size_t i = 0; i < fleet->seed_count; i++) {
@@ -257,10 +246,10 @@
     return fleet->first_start && fleet->seed_count > 0;
 }
 
-/* Names the disk that founds the quorum: the own one, else the lowest. Once
- * named, the same is asked again until it leads. */
+/* Chooses this node if it has a disk, else the lowest address with one.
+ * Repeats the request to the same founder until a leader exists. */
 static void
-name_founder(struct fleet *fleet)
+choose_founder(struct fleet *fleet)
 {
     GHashTableIter iter;
     gpointer value;
@@ -269,7 +258,7 @@
 
     if (fleet->self.identity != 0 && fleet->founder == 0) {
         fleet->founder = fleet->self.address;
-        (void)fleet_act(fleet, FLEET_FOUND);
+        (void)fleet_add_action(fleet, FLEET_BOOTSTRAP);
         return;
     }
     g_hash_table_iter_init(&iter, fleet->members);
@@ -289,262 +278,258 @@
     }
 }
 
-/* Time until this node greets others again. */
 static uint64_t
-pause_of(const struct fleet *fleet, bool lost)
+hello_interval(const struct fleet *fleet, bool no_leader)
 {
     if (!fleet->settled) {
-        return FLEET_SEEK_MS;
+        return FLEET_HELLO_STARTING_MS;
     }
-    return lost ? FLEET_SEEK_SETTLED_MS : FLEET_HELLO_MS;
+    return no_leader ? FLEET_HELLO_NO_LEADER_MS : FLEET_HELLO_INTERVAL_MS;
 }
 
-/* Compares this node with others. */
 static void
-greet(struct fleet *fleet, uint64_t now)
+send_hellos(struct fleet *fleet, uint64_t now)
 {
-    bool lost =
-        fleet->leads_since == 0 &&
-        (fleet->leader == 0 || now > fleet->leader_heard_at + FLEET_LEADER_MS);
+    bool no_leader = fleet->leads_since == 0 &&
+                     (fleet->leader == 0 ||
+                      now > fleet->leader_seen_at + FLEET_LEADER_TIMEOUT_MS);
 
-    if (lost) {
+    if (no_leader) {
         fleet->leader = 0;
-        seek(fleet);
-        if (names_founder(fleet) &&
-            now >= fleet->started_at + FLEET_FOUND_MS) {
-            name_founder(fleet);
+        discover_leader(fleet);
+        if (chooses_founder(fleet) &&
+            now >= fleet->started_at + FLEET_BOOTSTRAP_DELAY_MS) {
+            choose_founder(fleet);
         }
     }
     else {
         fleet_send_hello(fleet, fleet->leader, false);
     }
     fleet_send_hello(fleet, fleet_random_peer(fleet), false);
-    fleet_greet_unheard(fleet, now);
-    fleet->hello_at = now + pause_of(fleet, lost);
+    fleet_contact_saved_nodes(fleet, now);
+    fleet->hello_at = now + hello_interval(fleet, no_leader);
 }
 
-/* Lets time pass. */
 void
 fleet_tick(struct fleet *fleet, uint64_t now)
 {
     if (fleet->leads_since != 0) {
-        if (now >= fleet->watch_at) {
-            fleet->watch_at = now + WATCH_MS;
-            fleet_drop_lost(fleet, now);
+        if (now >= fleet->expire_members_at) {
+            fleet->expire_members_at = now + EXPIRE_INTERVAL_MS;
+            fleet_expire_members(fleet, now);
         }
-        if (fleet->joined->len > 0 && now >= fleet->joined_at) {
-            fleet->joined_at = now + FLEET_JOINED_MS;
+        if (fleet->joined->len > 0 && now >= fleet->push_joined_at) {
+            fleet->push_joined_at = now + FLEET_JOINED_INTERVAL_MS;
             fleet_push_joined(fleet);
         }
         if (fleet->push_at != 0 && now >= fleet->push_at) {
             fleet_push_table(fleet, now);
         }
     }
-    fleet_relay_move(fleet, now);
-    fleet_resolve_now(fleet, now);
-    fleet_pay(fleet, now);
+    fleet_relay_run(fleet, now);
+    fleet_resolve_send(fleet, now);
+    fleet_transfer_send(fleet, now);
     if (now >= fleet->hello_at) {
-        greet(fleet, now);
+        send_hellos(fleet, now);
     }
 }
 
-/* Says whether this node could serve: two nodes that both began empty agree
- * too, and know nothing. */
+/* Two empty nodes match as well, but cannot serve. */
 static bool
-knows_something(const struct fleet *fleet)
+has_data(const struct fleet *fleet)
 {
     return fleet->routes.bundle_version != 0 && fleet->upstreams->all->len > 0;
 }
 
-/* Says whether this node holds enough to serve. */
+/* True when the sender of a hello has no newer data, or after FLEET_SETTLE_MS
+ * with data that still differs. */
 static bool
 is_settled(const struct fleet *fleet, uint64_t now, const wire_hello *hello,
-           bool same)
+           bool same_upstreams)
 {
     if (hello->routes > fleet->routes.bundle_version ||
-        (fleet->leader == 0 && !knows_something(fleet))) {
+        (fleet->leader == 0 && !has_data(fleet))) {
         return false;
     }
-    return same ||
-           (now > fleet->met_at + FLEET_SETTLE_MS && knows_something(fleet));
+    return same_upstreams ||
+           (now > fleet->first_hello_at + FLEET_SETTLE_MS && has_data(fleet));
 }
 
-/* Says whether a node is to be asked by its data hall: the first one may be
- * anywhere, so that this node can serve soon; the rest, which is most of what
- * it is sent, is brought by its own hall, while a node there has it. */
+/* The first data may come from any hall, so that this node serves early; the
+ * rest comes from this hall while a node there has it. */
 static bool
-is_near_enough(struct fleet *fleet, uint64_t now, const wire_hello *hello)
+may_sync_from(struct fleet *fleet, uint64_t now, const wire_hello *hello)
 {
     if (hello->self.hall == fleet->self.hall) {
-        fleet->near_until = now + FLEET_ASK_FAR_MS;
+        fleet->hall_has_data_until = now + FLEET_SYNC_OTHER_HALL_MS;
         return true;
     }
-    return !knows_something(fleet) || fault_is(FAULT_NO_NEAR) ||
-           (now >= fleet->near_until &&
-            now >= fleet->met_at + FLEET_ASK_FAR_MS);
+    return !has_data(fleet) || fault_is(FAULT_NO_NEAR) ||
+           (now >= fleet->hall_has_data_until &&
+            now >= fleet->first_hello_at + FLEET_SYNC_OTHER_HALL_MS);
 }
 
-/* Says whether another node holds what this one, which begins, may ask it for
- * now. One is asked at a time, or nodes that begin together are sent
- * everything by every node that they greet, which fills the link of a seed. */
+/* True when the sender of a hello has data for this starting node and no sync
+ * is in progress. Syncing from several peers at once would transfer the
+ * inventory several times. */
 static bool
-should_ask(struct fleet *fleet, uint64_t now, const wire_hello *hello,
-           bool same)
+should_request_sync(struct fleet *fleet, uint64_t now, const wire_hello *hello,
+                    bool same_upstreams)
 {
     bool has_disk = hello->self.identity != 0;
     bool has_more = hello->routes > fleet->routes.bundle_version ||
-                    (!same && fleet_has_upstreams(hello));
+                    (!same_upstreams && fleet_hello_has_upstreams(hello));
 
-    return !fleet->settled && has_more && now >= fleet->asked_until &&
-           (has_disk || now >= fleet->met_at + FLEET_ASK_ANY_MS) &&
-           is_near_enough(fleet, now, hello);
+    return !fleet->settled && has_more && now >= fleet->sync_until &&
+           (has_disk ||
+            now >= fleet->first_hello_at + FLEET_SYNC_ANY_NODE_MS) &&
+           may_sync_from(fleet, now, hello);
 }
 
-/* Owes a node that begins, and asks, what it lacks. */
+/* Queues the table and the inventory for a starting node. */
 static void
-owe_lacking(struct fleet *fleet, const wire_hello *hello, bool same)
+enqueue_missing(struct fleet *fleet, const wire_hello *hello,
+                bool same_upstreams)
 {
     uint32_t to = hello->self.address;
 
     if (hello->routes < fleet->routes.bundle_version) {
-        fleet_owe(fleet, to, FLEET_OWE_TABLE, true);
+        fleet_transfer_enqueue(fleet, to, FLEET_TRANSFER_TABLE, true);
     }
-    if (!same) {
-        fleet_owe(fleet, to, FLEET_OWE_UPSTREAMS, true);
+    if (!same_upstreams) {
+        fleet_transfer_enqueue(fleet, to, FLEET_TRANSFER_UPSTREAMS, true);
     }
 }
 
-/* Notes what another node showed. */
 static void
-note_shown(struct fleet_member *member, const wire_hello *hello)
+record_hello(struct fleet_member *member, const wire_hello *hello)
 {
     member->routes = hello->routes;
     member->halls = hello->halls != NULL ? hello->halls->revision : 0;
     memcpy(member->upstreams, hello->upstreams, sizeof(member->upstreams));
 }
 
-/* Takes a hello: sends what the other lacks. */
 static void
-take_hello(struct fleet *fleet, uint64_t now, const wire_hello *hello)
+handle_hello(struct fleet *fleet, uint64_t now, const wire_hello *hello)
 {
-    bool same = fleet_has_same_upstreams(fleet, hello);
+    bool same_upstreams = fleet_hello_matches_upstreams(fleet, hello);
     bool settled = (hello->flags & WIRE_HELLO_SETTLED) != 0;
     uint32_t from = hello->self.address;
     struct fleet_member *member;
 
     if (hello->halls != NULL) {
-        (void)take_halls(fleet, now, hello->halls);
+        (void)merge_halls(fleet, now, hello->halls);
     }
-    fleet_note_member(fleet, now, &hello->self, true);
+    fleet_update_member(fleet, now, &hello->self, true);
     member = g_hash_table_lookup(fleet->members, GUINT_TO_POINTER(from));
     if (member == NULL) {
         return;
     }
-    if (fleet->met_at == 0) {
-        fleet->met_at = now;
+    if (fleet->first_hello_at == 0) {
+        fleet->first_hello_at = now;
     }
-    note_shown(member, hello);
-    if (settled && member->mute_until != 0) {
-        member->mute_until = 0;
-        fleet_relay_greet(fleet, now, &hello->self);
+    record_hello(member, hello);
+    if (settled && member->unresponsive_until != 0) {
+        member->unresponsive_until = 0;
+        fleet_relay_send_recent(fleet, now, &hello->self);
     }
     if (hello->leader == from &&
         hello->members == fleet_members_digest(fleet)) {
-        fleet->relay.listed = true;
+        fleet->relay.has_all_members = true;
     }
     if (hello->self.identity != 0) {
-        fleet_act(fleet, FLEET_DISK)->node = hello->self;
+        fleet_add_action(fleet, FLEET_DISK_SEEN)->node = hello->self;
     }
-    note_leader(fleet, now, hello->term, hello->leader, hello->leader == from);
+    update_leader(fleet, now, hello->term, hello->leader,
+                  hello->leader == from);
     if ((hello->flags & WIRE_HELLO_WANTS) != 0) {
         if (!settled) {
-            owe_lacking(fleet, hello, same);
+            enqueue_missing(fleet, hello, same_upstreams);
         }
-        fleet_owe_members(fleet, hello, member);
-        fleet_pay(fleet, now);
+        fleet_enqueue_members(fleet, hello, member);
+        fleet_transfer_send(fleet, now);
     }
-    fleet_see_table(fleet, now, hello);
-    fleet_compare(fleet, now, hello, same);
-    if (is_settled(fleet, now, hello, same)) {
+    fleet_request_newer_table(fleet, now, hello);
+    fleet_compare(fleet, now, hello, same_upstreams);
+    if (is_settled(fleet, now, hello, same_upstreams)) {
         fleet->settled = true;
     }
-    if (should_ask(fleet, now, hello, same)) {
-        fleet->asked_at = now;
-        fleet->asked_until = now + FLEET_ASK_MS;
-        fleet_ask(fleet, from);
+    if (should_request_sync(fleet, now, hello, same_upstreams)) {
+        fleet->sync_requested_at = now;
+        fleet->sync_until = now + FLEET_SYNC_INTERVAL_MS;
+        fleet_request_sync(fleet, from);
     }
     else if ((hello->flags & WIRE_HELLO_REPLY) == 0) {
         fleet_send_hello(fleet, from, true);
     }
 }
 
-/* Takes records of upstreams. */
 static void
-take_upstreams(struct fleet *fleet, uint64_t now,
-               const wire_upstreams *upstreams)
+handle_upstreams(struct fleet *fleet, uint64_t now,
+                 const wire_upstreams *upstreams)
 {
     for (u_int i = 0; i < upstreams->list.list_len; i++) {
         (void)upstream_merge(fleet->upstreams, now,
                              &upstreams->list.list_val[i]);
     }
-    /* Whoever was asked may still be sending, but others tell of changes. */
-    fleet->asked_until = MIN(MAX(fleet->asked_until, now + FLEET_SEEK_MS),
-                             fleet->asked_at + FLEET_ASK_MOST_MS);
+    /* Extends the wait while records arrive; bounded, since broadcast changes
+     * arrive here too. */
+    fleet->sync_until =
+        MIN(MAX(fleet->sync_until, now + FLEET_HELLO_STARTING_MS),
+            fleet->sync_requested_at + FLEET_SYNC_TIMEOUT_MS);
 }
 
-/* Takes a message of another node. The kinds of other roles are not for
- * nodes. */
+/* The other kinds are for other roles. */
 void
 fleet_receive(struct fleet *fleet, uint64_t now, const wire_msg *msg)
 {
     switch ((int)msg->kind) {
     case WIRE_HELLO:
-        take_hello(fleet, now, &msg->wire_msg_u.hello);
+        handle_hello(fleet, now, &msg->wire_msg_u.hello);
         return;
     case WIRE_MEMBERS:
-        fleet_take_members(fleet, now, &msg->wire_msg_u.members);
+        fleet_handle_members(fleet, now, &msg->wire_msg_u.members);
         return;
     case WIRE_UPSTREAMS:
-        take_upstreams(fleet, now, &msg->wire_msg_u.upstreams);
+        handle_upstreams(fleet, now, &msg->wire_msg_u.upstreams);
         return;
     case WIRE_TABLE:
         (void)fleet_set_routes(fleet, now, &msg->wire_msg_u.table);
         return;
     case WIRE_HALLS:
-        (void)take_halls(fleet, now, &msg->wire_msg_u.halls);
+        (void)merge_halls(fleet, now, &msg->wire_msg_u.halls);
         return;
     case WIRE_TABLE_ASK:
-        fleet_take_table_ask(fleet, &msg->wire_msg_u.table_ask);
-        fleet_pay(fleet, now);
+        fleet_handle_table_ask(fleet, &msg->wire_msg_u.table_ask);
+        fleet_transfer_send(fleet, now);
         return;
     case WIRE_COMPARE:
-        fleet_take_compare(fleet, now, &msg->wire_msg_u.compare);
+        fleet_handle_compare(fleet, now, &msg->wire_msg_u.compare);
         return;
     case WIRE_SUMMARY:
-        fleet_take_summary(fleet, &msg->wire_msg_u.summary);
+        fleet_handle_summary(fleet, &msg->wire_msg_u.summary);
         return;
     case WIRE_NEED:
-        fleet_take_need(fleet, now, &msg->wire_msg_u.need);
+        fleet_handle_need(fleet, now, &msg->wire_msg_u.need);
         return;
     case WIRE_DOUBT:
-        fleet_take_doubt(fleet, now, &msg->wire_msg_u.doubt);
+        fleet_handle_suspicion(fleet, now, &msg->wire_msg_u.doubt);
         return;
     case WIRE_SPREAD:
-        fleet_take_spread(fleet, now, &msg->wire_msg_u.spread);
+        fleet_handle_spread(fleet, now, &msg->wire_msg_u.spread);
         return;
     case WIRE_SPREAD_ACK:
-        fleet_take_spread_ack(fleet, now, &msg->wire_msg_u.spread_ack);
+        fleet_handle_spread_ack(fleet, now, &msg->wire_msg_u.spread_ack);
         return;
     case WIRE_FOUND:
-        if ((!fleet->founded || fault_is(FAULT_FOUND_AGAIN)) &&
+        if ((!fleet->bootstrapped || fault_is(FAULT_FOUND_AGAIN)) &&
             msg->wire_msg_u.found.identity == fleet->self.identity) {
-            (void)fleet_act(fleet, FLEET_FOUND);
+            (void)fleet_add_action(fleet, FLEET_BOOTSTRAP);
         }
         return;
     }
 }
 
-/* Earliest deadline. */
 uint64_t
 fleet_deadline(const struct fleet *fleet)
 {
@@ -556,12 +541,11 @@
         at = MIN(at, fleet->push_at);
     }
     if (fleet->leads_since != 0 && fleet->joined->len > 0) {
-        at = MIN(at, fleet->joined_at);
+        at = MIN(at, fleet->push_joined_at);
     }
-    return fleet->owed->len > 0 ? MIN(at, fleet->pay_at) : at;
+    return fleet->transfers->len > 0 ? MIN(at, fleet->transfer_at) : at;
 }
 
-/* Gives the actions. */
 struct fleet_action *
 fleet_actions(struct fleet *fleet, size_t *count)
 {
@@ -569,7 +553,6 @@
     return (struct fleet_action *)(void *)fleet->actions->data;
 }
 
-/* Forgets the actions. */
 void
 fleet_clear(struct fleet *fleet)
 {
--- a/fleet.h
+++ b/fleet.h
@@ -1,13 +1,11 @@
 /**
  * @file fleet.h
- * How the nodes of one deployment find each other and tell each other what
- * they know: members, the leader, the routing table in force and the
- * inventory of upstreams. Every node greets the leader and a peer drawn by
- * lot twice a second, and asks for what it lacks, one node at a time; changes
- * go at once by a relay of each data hall. Which halls are emptied is told by
- * the leader at once, and stands in each hello. What is large is owed to each
- * node once. Owns the members and the packed table; the inventory is borrowed
- * and changed only through upstream.h. Does no I/O.
+ * Cluster membership and state exchange between nodes: hellos to the leader
+ * and to random peers, anti-entropy comparison of upstream inventories,
+ * dissemination of upstream changes through a relay per data hall, and
+ * paced transfers of routing tables, inventories and member lists. Owns the
+ * member list and the packed routing table; borrows the upstream set and
+ * changes it only through upstream.h. Does no I/O.
  */
 #ifndef RIDGERIDGE_FLEET_H
 #define RIDGERIDGE_FLEET_H
@@ -21,321 +19,302 @@
 #include "upstream.h"
 
 #define FLEET_SEEDS_MAX 16
-#define FLEET_HELLO_MS                                                        \
-    500U                      /**< between comparisons; two lost datagrams in \
-                                   a row still leave time within 3 s */
-#define FLEET_SEEK_MS 100U    /**< the same until a leader is known */
-#define FLEET_LOST_MS 4000U   /**< the leader drops a member unheard so long */
-#define FLEET_LEADER_MS 2500U /**< a leader unheard so long is looked for */
-#define FLEET_FOUND_MS                                                        \
-    1500U /**< after the first start, nodes have so long                      \
-               to report before a founder is named */
+#define FLEET_HELLO_INTERVAL_MS 500U  /**< between hellos, leader known */
+#define FLEET_HELLO_STARTING_MS 100U  /**< between hellos before settling */
+#define FLEET_HELLO_NO_LEADER_MS 250U /**< between hellos without a leader */
+#define FLEET_MEMBER_TIMEOUT_MS                                               \
+    4000U /**< the leader removes a member after this long without a hello */
+#define FLEET_LEADER_TIMEOUT_MS                                               \
+    2500U /**< leader discovery starts after this long without a hello */
+#define FLEET_BOOTSTRAP_DELAY_MS                                              \
+    1500U /**< from the first start to the choice of a founder */
 #define FLEET_SETTLE_MS                                                       \
-    1000U /**< a node that has exchanged for so long holds                    \
-               enough, though others change meanwhile */
-#define FLEET_ASK_MS                                                          \
-    200U /**< a node that begins asks another one for what it lacks only so   \
-              long after the last: 20 KB take 50 ms on a link of 3 Mbit/s */
-#define FLEET_ASK_MOST_MS                                                     \
-    500U /**< the same while records arrive: 64 KB take 0.23 s on a link of   \
-              2.2 Mbit/s, and another node may be served before */
-#define FLEET_ASK_ANY_MS                                                      \
-    50U /**< after the first hello, nodes without a disk are asked too;       \
-             those with one answer within a few ms and have larger links */
-#define FLEET_ASK_FAR_MS                                                      \
-    600U /**< nodes of other data halls are asked for the rest once none of   \
-              this hall offered it for so long: three greetings, of which two \
-              may be lost, with what is on its way to others before */
-#define FLEET_PUSH_MS 250U /**< least time between two pushes of tables */
+    1000U /**< from the first hello of a peer until a node with data counts   \
+               as settled although inventories still differ */
+#define FLEET_SYNC_INTERVAL_MS                                                \
+    200U /**< between sync requests of a starting node */
+#define FLEET_SYNC_TIMEOUT_MS                                                 \
+    500U /**< longest wait for further records after a sync request */
+#define FLEET_SYNC_ANY_NODE_MS                                                \
+    50U /**< from the first hello until nodes without a disk are asked too */
+#define FLEET_SYNC_OTHER_HALL_MS                                              \
+    600U /**< without an offer from this hall, nodes of other halls are asked \
+              after this long */
+#define FLEET_PUSH_INTERVAL_MS 250U /**< between pushes of the table */
 #define FLEET_TABLE_WAIT_MS                                                   \
-    300U /**< a node that sees a newer table has so long to be sent it by the \
-              leader, before it asks */
-#define FLEET_TABLE_AGAIN_MS                                                  \
-    400U /**< it asks again only so long after: 37 KB take 0.13 s on a link   \
-              of 2.2 Mbit/s, and others may be before it */
+    300U /**< wait for the leader's push before requesting a newer table */
+#define FLEET_TABLE_RETRY_MS 400U /**< between requests for a newer table */
 #define FLEET_BULK_SHARE                                                      \
-    2U /**< copies of tables, inventories and lists take at most one part in  \
-            so many of a link */
-#define FLEET_SEEK_SETTLED_MS                                                 \
-    250U /**< between greetings of a node that serves and looks for a leader: \
-              it can wait, and all do it at once */
-#define FLEET_COMPARE_MS                                                      \
-    500U /**< a node compares its inventory with one other so often, however  \
-              many it meets: what it sends does not grow with the fleet */
-#define FLEET_TAKEN_BITS                                                      \
-    64U /**< last messages of changes of a node that are told from repeated   \
-             ones; a relay sends 50 a second, and repeats within 0.7 s */
-#define FLEET_JOINED_MS                                                       \
-    100U /**< LEADER: between two messages to all about nodes that are new */
-
-/** What the shell must do. */
+    2U /**< transfers take at most 1/FLEET_BULK_SHARE of the link */
+#define FLEET_COMPARE_INTERVAL_MS                                             \
+    500U /**< between anti-entropy comparisons of one node */
+#define FLEET_DUPLICATE_WINDOW                                                \
+    64U /**< sequence numbers remembered per sender; one bit each */
+#define FLEET_JOINED_INTERVAL_MS                                              \
+    100U /**< LEADER: between announcements of new members */
+
+/** Kind of a struct fleet_action. */
 enum fleet_action_kind {
-    FLEET_SEND,      /**< send `bytes` to the node `to` */
-    FLEET_DISK,      /**< a disk is alive: `node` */
-    FLEET_FOUND,     /**< found the control quorum on the own disk */
-    FLEET_TABLE,     /**< read and apply `fleet.routes`, of `version` */
-    FLEET_HALLS,     /**< other halls are emptied now: to be logged */
-    FLEET_UNANSWERED /**< the node `to` does not acknowledge changes: to be
-                          logged */
+    FLEET_SEND,        /**< send `bytes` to the node `to` */
+    FLEET_DISK_SEEN,   /**< received a hello of `node`, which has a disk */
+    FLEET_BOOTSTRAP,   /**< bootstrap the control quorum on this node's disk */
+    FLEET_TABLE,       /**< decode and apply `fleet.routes` */
+    FLEET_HALLS,       /**< the set of drained halls changed: log it */
+    FLEET_UNRESPONSIVE /**< no acknowledgement from the node `to`: log it */
 };
 
-/** One action. */
+/** Work for the event loop. */
 struct fleet_action {
-    enum fleet_action_kind kind; /**< which of the following is set */
-    uint32_t to;                 /**< SEND, UNANSWERED: address */
+    enum fleet_action_kind kind; /**< selects the fields that are set */
+    uint32_t to;                 /**< SEND, UNRESPONSIVE: address */
     GByteArray *bytes;           /**< SEND: encoded message */
-    wire_node node;              /**< DISK */
-    uint64_t version;            /**< TABLE */
+    wire_node node;              /**< DISK_SEEN */
+    uint64_t version;            /**< TABLE: bundle version */
 };
 
-/** What a node may be owed, in bits. */
-enum fleet_bulk {
-    FLEET_OWE_TABLE = 1,     /**< the routing table */
-    FLEET_OWE_UPSTREAMS = 2, /**< what differs in the inventory */
-    FLEET_OWE_MEMBERS = 4    /**< the list of members */
+/** Items of a transfer, as bits. */
+enum fleet_transfer_item {
+    FLEET_TRANSFER_TABLE = 1,     /**< the routing table */
+    FLEET_TRANSFER_UPSTREAMS = 2, /**< differences in the inventory */
+    FLEET_TRANSFER_MEMBERS = 4    /**< the list of members */
 };
 
-/** A node that is owed something. */
-struct fleet_owed {
-    uint32_t to;   /**< its address */
-    unsigned what; /**< enum fleet_bulk, or-ed */
-    bool begins;   /**< it cannot serve without: it is before the others */
+/** A queued transfer to one node. */
+struct fleet_transfer {
+    uint32_t to;    /**< address */
+    unsigned items; /**< enum fleet_transfer_item, or-ed */
+    bool starting;  /**< the receiver is not settled: served first */
 };
 
-/** An upstream that was asked for, since an open flow names it. */
-struct fleet_sought {
-    uint32_t token; /**< that names it */
-    unsigned times; /**< that it was asked for */
-    uint64_t at;    /**< deadline: it is asked for then */
+/** A lookup of an upstream that a packet names but the inventory lacks. */
+struct fleet_lookup {
+    uint32_t token;   /**< of the upstream */
+    unsigned tries;   /**< requests sent */
+    uint64_t send_at; /**< deadline: next request */
 };
 
-/** Nodes of a data hall, by address. */
+/** The nodes of a data hall in a range of addresses. */
 struct fleet_range {
     uint32_t hall;  /**< hash of its name */
     uint32_t first; /**< address */
-    uint32_t last;  /**< address */
+    uint32_t last;  /**< address, inclusive */
 };
 
-/** A change that this node passes on. */
-struct fleet_passed {
+/** An upstream change queued for relaying. */
+struct fleet_queued_change {
     uint64_t id;              /**< of the upstream */
-    struct fleet_range range; /**< those to whom */
-    bool halls;               /**< and to a relay of each other hall */
+    struct fleet_range range; /**< receivers */
+    bool to_other_halls;      /**< also to a relay of each other hall */
 };
 
-/** A change that was heard here, and is to be handed over once more. */
-struct fleet_told {
-    uint64_t id; /**< of the upstream */
-    uint64_t at; /**< deadline */
+/** A change of this node that is broadcast a second time. */
+struct fleet_repeat {
+    uint64_t id;     /**< of the upstream */
+    uint64_t due_at; /**< deadline */
 };
 
-/** A change that this node passed on. */
-struct fleet_recent {
-    uint64_t id; /**< of the upstream */
-    uint64_t at; /**< when */
+/** A change that this node relayed recently. */
+struct fleet_recent_change {
+    uint64_t id;       /**< of the upstream */
+    uint64_t added_at; /**< time */
 };
 
 struct fleet_batch;
 
-/** Changes that are owed to a node until it acknowledges them. */
+/** Changes sent to one node until it acknowledges them. */
 struct fleet_delivery {
-    struct fleet_batch *batch; /**< the changes; counted */
-    uint32_t to;               /**< address of the node */
-    wire_reach reach;          /**< how far it passes them on */
-    struct fleet_range range;  /**< those to whom it does */
-    unsigned tries;            /**< times that they were sent to it */
-    unsigned relays;           /**< relays that did not answer before it */
-    uint64_t at;               /**< deadline: send them, or ask another */
-    uint64_t until;            /**< deadline: owed no longer */
+    struct fleet_batch *batch; /**< the changes; reference-counted */
+    uint32_t to;               /**< address of the receiver */
+    wire_reach reach;          /**< how far the receiver relays them */
+    struct fleet_range range;  /**< to which nodes the receiver relays them */
+    unsigned tries;            /**< transmissions to `to` */
+    unsigned relays_tried;     /**< unresponsive relays before `to` */
+    uint64_t send_at;          /**< deadline: next transmission */
+    uint64_t expires_at;       /**< deadline: given up */
 };
 
-/** Changes on their way to all nodes. */
+/** Queues of upstream changes. */
 struct fleet_relay {
-    GArray *own;         /**< uint64_t: upstreams whose change was heard here,
-                              to be handed to a relay */
-    GArray *told;        /**< struct fleet_told, first due first */
-    GArray *passed;      /**< struct fleet_passed */
-    GArray *recent;      /**< struct fleet_recent, oldest first */
-    uint64_t flush_at;   /**< deadline: these leave, once all that left before
-                              was sent; 0: there are none */
-    uint64_t flushed_at; /**< when something left last */
+    GArray *own_changes; /**< uint64_t: upstreams whose change this node
+                              detected, for the hall's relay */
+    GArray *repeats;     /**< struct fleet_repeat, earliest first */
+    GArray *queued;      /**< struct fleet_queued_change */
+    GArray *recent;      /**< struct fleet_recent_change, oldest first */
+    uint64_t flush_at;   /**< deadline: send the queues; 0: they are empty */
+    uint64_t flushed_at; /**< time of the last flush */
     GArray *deliveries;  /**< struct fleet_delivery */
-    uint64_t due_at;     /**< no deadline of a delivery is earlier */
-    guint unsent;        /**< deliveries that were not sent yet */
-    uint64_t pace_at;    /**< deadline: the link has taken what was sent */
-    uint64_t pace_bytes; /**< sent within the current ms of it */
-    uint64_t number;     /**< of the last message */
-    bool listed;         /**< this node knows all members */
+    uint64_t due_at;     /**< lower bound of all delivery deadlines */
+    guint unsent;        /**< deliveries without a transmission yet */
+    uint64_t pace_at;    /**< deadline: the link has sent all bytes so far */
+    uint64_t pace_bytes; /**< bytes not yet counted in `pace_at`, below 1 ms */
+    uint64_t last_number; /**< sequence number of the last message */
+    bool has_all_members; /**< the member list is complete */
 };
 
 /** Another node. */
 struct fleet_member {
-    wire_node node;     /**< as it or the leader reported it */
-    uint64_t heard_at;  /**< last hello, or word of the leader */
-    bool lacks_members; /**< its last hello showed another list */
-    uint64_t routes;    /**< version that it showed last, 0: none */
-    uint64_t halls;     /**< revision of the emptied halls that it showed */
-    uint32_t upstreams[WIRE_BUCKETS]; /**< digests that it showed last */
-    uint64_t mute_until; /**< deadline: it did not answer, and is not sent
-                              changes until then */
-    uint64_t relay_at;   /**< deadline: it is not asked to relay before, since
-                              it did not answer in time or has just begun */
-    uint64_t taken;      /**< number of its last message of changes */
-    uint64_t taken_bits; /**< a bit for each of those up to it: taken */
+    wire_node node;        /**< as reported by it or by the leader */
+    uint64_t last_seen_at; /**< last hello, or last report by the leader */
+    bool members_differ;   /**< its last hello had another member digest */
+    uint64_t routes;       /**< table version in its last hello, 0: none */
+    uint64_t halls;        /**< revision of its drained halls, 0: none */
+    uint32_t upstreams[WIRE_BUCKETS]; /**< bucket digests in its last hello */
+    uint64_t unresponsive_until; /**< deadline: no changes are sent to it */
+    uint64_t relay_after;        /**< deadline: not used as a relay before */
+    uint64_t highest_number; /**< highest sequence number received from it */
+    uint64_t received_bits;  /**< bit n: `highest_number` - n was received */
 };
 
-/** What one node knows of the fleet. */
+/** Membership and exchange state of one node. */
 struct fleet {
     wire_node self;                  /**< this node */
     bool first_start;                /**< of the whole deployment */
-    uint32_t seeds[FLEET_SEEDS_MAX]; /**< whom to ask first */
+    uint32_t seeds[FLEET_SEEDS_MAX]; /**< addresses for leader discovery */
     size_t seed_count;               /**< of seeds */
-    uint64_t started_at;             /**< of this process */
+    uint64_t started_at;             /**< time of fleet_open() */
     GHashTable *members;             /**< address to struct fleet_member */
-    GArray *addresses;               /**< uint32_t: of the members, lowest
-                                          first */
-    GArray *neighbours;              /**< uint32_t: the same, of those in this
-                                          node's data hall */
-    uint64_t near_until;             /**< deadline: until then nodes of this
-                                          hall have what this one lacks */
-    uint64_t members_sum;            /**< of what each member adds to their
-                                          digest */
-    uint64_t term;                   /**< of the leader known */
+    GArray *addresses;               /**< uint32_t: of the members, sorted */
+    GArray *hall_addresses;          /**< uint32_t: of the members in this
+                                          node's data hall, sorted */
+    uint64_t hall_has_data_until;    /**< deadline: sync only from this hall */
+    uint64_t members_digest_sum;     /**< sum of the members' digests */
+    uint64_t term;                   /**< term of `leader` */
     uint32_t leader;                 /**< its address, 0: none known */
-    uint64_t leader_heard_at;        /**< last word of it */
-    uint64_t leads_since;            /**< this node leads since, 0: not */
-    uint64_t hello_at;               /**< deadline */
-    uint32_t founder;                /**< named here, 0: none yet */
-    bool founded;                    /**< a leader was known once, here or to
-                                          another node */
-    bool settled;                    /**< holds enough to serve */
-    uint64_t met_at;                 /**< first hello of a peer, 0: none */
-    uint64_t asked_at;               /**< when it asked last, 0: never */
-    uint64_t asked_until;            /**< deadline: until then the node that
-                                          was asked may still send */
-    GArray *unheard;                 /**< uint32_t: nodes that were stored and
-                                          are greeted until they are heard */
-    GArray *joined;                  /**< uint32_t: LEADER: nodes that are
-                                          new, to be told to all */
+    uint64_t leader_seen_at;         /**< last hello of it, or first report
+                                          of it by another node */
+    uint64_t leads_since;            /**< time, 0: this node is no leader */
+    uint64_t hello_at;               /**< deadline: next hellos */
+    uint32_t founder;                /**< address chosen here, 0: none yet */
+    bool bootstrapped;               /**< a leader existed in any term */
+    bool settled;                    /**< has enough data to serve */
+    uint64_t first_hello_at;         /**< first hello of a peer, 0: none */
+    uint64_t sync_requested_at;      /**< last sync request, 0: none */
+    uint64_t sync_until;             /**< deadline: no further sync request
+                                          before */
+    GArray *uncontacted;             /**< uint32_t: saved nodes that have not
+                                          sent a hello yet */
+    GArray *joined;                  /**< uint32_t: LEADER: new members to
+                                          announce */
     wire_routes routes;              /**< newest table; packed is owned */
-    uint64_t push_at;                /**< deadline: push the table, 0: no */
+    uint64_t push_at;                /**< deadline: push the table, 0: none */
     uint64_t pushed_at;              /**< last push */
-    uint64_t watch_at;               /**< LEADER: deadline: look for members
-                                          that are lost */
-    uint64_t joined_at;              /**< deadline: tell all of these */
-    GArray *sought;                  /**< struct fleet_sought */
-    GArray *owed;                    /**< struct fleet_owed, in order, each
-                                          node once */
-    uint64_t pay_at;                 /**< deadline: the next copy may leave */
-    uint64_t bulk_bytes;             /**< of copies, within the current ms */
-    uint32_t bulk_bytes_ms;          /**< copies may take so much of the link,
-                                          0: no bound */
-    uint64_t bytes_sent;             /**< of all messages to one node */
-    struct fleet_relay relay;        /**< changes on their way to all */
-    uint64_t compare_at;             /**< deadline: compare the inventory */
-    uint64_t differs_since[WIRE_BUCKETS]; /**< all that were met since then
-                                               held the bucket differently; 0:
-                                               the last one held the same */
-    uint64_t seen_routes;           /**< highest version that was shown */
-    uint64_t ask_table_at;          /**< deadline: ask who shows a newer one */
+    uint64_t expire_members_at;      /**< LEADER: deadline: expire members */
+    uint64_t push_joined_at;         /**< deadline: announce `joined` */
+    GArray *lookups;                 /**< struct fleet_lookup */
+    GArray *transfers;               /**< struct fleet_transfer: FIFO, one
+                                          per node */
+    uint64_t transfer_at;            /**< deadline: next transfer */
+    uint64_t bulk_bytes;             /**< bytes not yet counted in
+                                          `transfer_at`, below 1 ms */
+    uint32_t bulk_bytes_per_ms;      /**< rate limit, 0: none */
+    uint64_t bytes_sent;             /**< all messages to one receiver */
+    struct fleet_relay relay;        /**< queues of changes */
+    uint64_t compare_at;             /**< deadline: next comparison */
+    uint64_t differs_since[WIRE_BUCKETS]; /**< since then every hello
+                                               had another digest, 0: the last
+                                               one had the same */
+    uint64_t highest_seen_routes;   /**< highest table version in a hello */
+    uint64_t request_table_at;      /**< deadline: request a newer table */
     struct upstream_set *upstreams; /**< borrowed */
     uint64_t random;                /**< state of the generator */
     GArray *actions;                /**< struct fleet_action */
 };
 
-/** What fleet_open() needs. */
+/** Parameters of fleet_open(). */
 struct fleet_options {
     uint32_t address;     /**< of this node */
-    uint64_t incarnation; /**< drawn at each start */
-    uint64_t identity;    /**< of the own disk, 0: none */
+    uint64_t incarnation; /**< random number of this start */
+    uint64_t identity;    /**< of this node's disk, 0: none */
     bool first_start;     /**< of the whole deployment */
-    uint64_t link_kbit_s; /**< of this node's link, 0: not known */
+    uint64_t link_kbit_s; /**< of this node's link, 0: unknown */
     uint32_t hall;        /**< hash of its data hall's name */
-    uint64_t seed;        /**< of the generator */
+    uint64_t seed;        /**< of the random generator */
 };
 
-/** Starts alone. */
+/** Initializes the state without any members. */
 void fleet_open(struct fleet *fleet, uint64_t now,
                 const struct fleet_options *options,
                 struct upstream_set *upstreams);
 
-/** Frees it. */
 void fleet_close(struct fleet *fleet);
 
-/** Sets whom to ask first; they may be wrong or gone. */
+/** Sets the addresses for leader discovery; some may be unreachable. */
 void fleet_set_seeds(struct fleet *fleet, const uint32_t *seeds, size_t count);
 
-/** Notes a node that is known from elsewhere, such as a stored voter. */
+/** Adds a seed from another source, such as a stored voter. */
 void fleet_add_contact(struct fleet *fleet, uint32_t address);
 
-/** Says who leads, as the own voter knows it; 0: it knows of none. */
+/** Sets the leader as the local voter sees it; 0: none. */
 void fleet_set_leader(struct fleet *fleet, uint64_t now, uint64_t term,
                       uint32_t leader);
 
-/** Takes a committed table; true when it is newer. */
+/** Stores a committed table; false when it is not newer. */
 bool fleet_set_routes(struct fleet *fleet, uint64_t now,
                       const wire_routes *routes);
 
-/** Takes committed orders about halls; true when they are newer. */
+/** Applies committed hall orders; false when they are not newer. */
 bool fleet_set_halls(struct fleet *fleet, uint64_t now,
                      const struct hall_set *halls);
 
-/** Nodes, this one with them, that are known to hold the emptied halls of this
- * node's list. Whole only at the leader, which all others greet. */
+/** Number of nodes, this one included, whose last hello had this node's
+ * revision of the drained halls or a newer one. Complete only on the leader,
+ * which receives hellos from all nodes. */
 guint fleet_count_halls_in_force(const struct fleet *fleet);
 
-/** Announces that this node is about to end. */
+/** Marks this node as stopping and sends hellos at the next tick. */
 void fleet_stop(struct fleet *fleet, uint64_t now);
 
-/** Lets time pass. */
+/** Runs all timers that are due. */
 void fleet_tick(struct fleet *fleet, uint64_t now);
 
-/** Takes a message of another node. */
+/** Handles a message of another node. */
 void fleet_receive(struct fleet *fleet, uint64_t now, const wire_msg *msg);
 
-/** Sends what changed in the inventory on its way to all members and tells
- * doubts to those whom they concern; clears the inventory's lists of both. */
-void fleet_spread(struct fleet *fleet, uint64_t now);
+/** Broadcasts upstream changes, sends suspicions to the upstreams' keepers
+ * and requests records that are out of date; clears these lists of the
+ * upstream set. */
+void fleet_broadcast_changes(struct fleet *fleet, uint64_t now);
 
-/** An open flow names an upstream that this node does not know: asks for it
- * with the next fleet_spread(). */
+/** Queues a lookup of an upstream that is not in the inventory; the next
+ * fleet_broadcast_changes() sends it. */
 void fleet_resolve(struct fleet *fleet, uint64_t now, uint32_t token);
 
-/** When fleet_spread() has such an upstream to ask for; UINT64_MAX: there is
- * none. */
+/** Deadline of the next lookup request; UINT64_MAX: none. */
 uint64_t fleet_resolve_due(const struct fleet *fleet);
 
-/** Earliest time at which fleet_tick() has something to do. */
+/** Earliest deadline of fleet_tick(). */
 uint64_t fleet_deadline(const struct fleet *fleet);
 
-/** Digest of the members: who, and which start of it. */
+/** Digest of all members' addresses and incarnations. */
 uint64_t fleet_members_digest(const struct fleet *fleet);
 
-/** Lists the nodes among which owners of cold upstreams are found; none while
- * this one does not know all, has just begun or stops. */
+/** Appends the addresses of the nodes that may own upstreams in warmup; none
+ * while this node has no complete member list, started recently or stops. */
 void fleet_list_owners(const struct fleet *fleet, uint64_t now, GArray *out);
 
-/** A member of a hall, drawn by `seed`, that takes packets for others; NULL
- * when there is none. */
-const wire_node *fleet_carrier(const struct fleet *fleet, uint64_t now,
-                               uint32_t hall, uint64_t seed);
+/** Chooses a responsive member of a hall to forward packets, by rendezvous
+ * hashing with `seed`; NULL: none. */
+const wire_node *fleet_choose_forwarder(const struct fleet *fleet,
+                                        uint64_t now, uint32_t hall,
+                                        uint64_t seed);
 
-/** Asks members of a hall, drawn by lot, whether they hear this node. */
+/** Sends hellos to random members of a hall to test whether it can be
+ * reached. */
 void fleet_probe_hall(struct fleet *fleet, uint64_t now, uint32_t hall);
 
-/** Place of this node among all by address, in parts of 2^32. */
-uint32_t fleet_place(const struct fleet *fleet);
+/** Rank of this node's address among all nodes, as a fraction of 2^32. */
+uint32_t fleet_rank(const struct fleet *fleet);
 
-/** Encodes what a node with a disk stores of its fleet. */
+/** Encodes the upstreams and member addresses for storage on disk. */
 GByteArray *fleet_save(const struct fleet *fleet, uint64_t now);
 
-/** Takes what was stored, before a start; false when it cannot be read. */
+/** Restores the state of fleet_save(); false when it cannot be decoded. */
 bool fleet_load(struct fleet *fleet, uint64_t now, const GByteArray *bytes);
 
-/** Takes the actions. */
+/** Pending actions; valid until fleet_clear(). */
 struct fleet_action *fleet_actions(struct fleet *fleet, size_t *count);
 
-/** Forgets the actions, after they were carried out. */
+/** Discards the pending actions. */
 void fleet_clear(struct fleet *fleet);
 
 #endif
--- a/node-forward.c
+++ b/node-forward.c
@@ -30,7 +30,7 @@
         uint32_t by = g_array_index(halls, struct evidence_hall, at).hall;
         const wire_node *carrier =
             by != own && evidence_may_relay(&node->evidence, now, cut, by)
-                ? fleet_carrier(&node->fleet, now, by, seed)
+                ? fleet_choose_forwarder(&node->fleet, now, by, seed)
                 : NULL;
 
         if (carrier != NULL) {
--- a/node-voter.c
+++ b/node-voter.c
@@ -19,7 +19,7 @@
         return;
     }
     log_event(LOG_INFO, "inventory-loaded", "upstreams=%u nodes=%u",
-              node->upstreams.all->len, node->fleet.unheard->len);
+              node->upstreams.all->len, node->fleet.uncontacted->len);
 }
 
 /* Takes news on the loop's thread. */
--- a/node.c
+++ b/node.c
@@ -133,10 +133,10 @@
             node_send_to_peer(node, all[i].to, all[i].bytes->data,
                               all[i].bytes->len);
             break;
-        case FLEET_DISK:
+        case FLEET_DISK_SEEN:
             node_voter_hear(node, &all[i].node);
             break;
-        case FLEET_FOUND:
+        case FLEET_BOOTSTRAP:
             node_voter_found(node);
             break;
         case FLEET_TABLE:
@@ -145,7 +145,7 @@
         case FLEET_HALLS:
             log_halls(node);
             break;
-        case FLEET_UNANSWERED:
+        case FLEET_UNRESPONSIVE:
             counter_add(&node->counters, COUNTER_NODES_UNANSWERED, 1);
             log_event(LOG_WARN, "node-unanswered", "node=%08x", all[i].to);
             break;
@@ -295,7 +295,7 @@
     log_doubts(node);
     log_told(node);
     node_watch_halls(node, loop_now());
-    fleet_spread(&node->fleet, loop_now());
+    fleet_broadcast_changes(&node->fleet, loop_now());
     act_fleet(node);
     if (node->evidence.settled != node->fleet.settled ||
         node->evidence.table->version != version ||
@@ -422,7 +422,7 @@
     uint64_t now = loop_now();
 
     if (node->ticked_at != 0 &&
-        now > node->ticked_at + FLEET_HELLO_MS + STANDSTILL_MS) {
+        now > node->ticked_at + FLEET_HELLO_INTERVAL_MS + STANDSTILL_MS) {
         log_event(LOG_WARN, "stood-still", "ms=%llu",
                   (unsigned long long)(now - node->ticked_at));
         upstream_extend_deadlines(&node->upstreams, now,
@@ -444,7 +444,7 @@
     upstream_tick(&node->upstreams, now);
     evidence_tick(&node->evidence, now);
     fleet_tick(&node->fleet, now);
-    node->evidence.rank = fleet_place(&node->fleet);
+    node->evidence.rank = fleet_rank(&node->fleet);
     list_owners(node, now);
     keep_upstreams(node, now);
     open_http_when_due(node, now);
--- a/tests/fleet-sim.c
+++ b/tests/fleet-sim.c
@@ -195,17 +195,17 @@
         case FLEET_SEND:
             fleet_sim_send(sim, n, all[i].to, all[i].bytes);
             break;
-        case FLEET_DISK:
+        case FLEET_DISK_SEEN:
             if (node->has_disk) {
                 replica_update_disk(&node->replica, sim->now,
                                     all[i].node.address, all[i].node.identity);
             }
             break;
-        case FLEET_FOUND:
+        case FLEET_BOOTSTRAP:
             founds = node->has_disk;
             break;
         case FLEET_HALLS:
-        case FLEET_UNANSWERED:
+        case FLEET_UNRESPONSIVE:
             break;
         case FLEET_TABLE:
             if (all[i].version < node->version_seen) {
@@ -232,7 +232,7 @@
     if (node->has_disk) {
         act_order(sim, n);
     }
-    fleet_spread(&node->fleet, sim->now);
+    fleet_broadcast_changes(&node->fleet, sim->now);
     g_array_set_size(node->upstreams.learned, 0);
     if (act_fleet(sim, n)) {
         found(sim, n);
--- a/tests/test-inventory.c
+++ b/tests/test-inventory.c
@@ -137,7 +137,7 @@
     g_assert_cmpint(u->keeper, ==, sim->count - 1);
     fleet_sim_kill(sim, u->keeper);
     fleet_sim_start(sim, u->keeper);
-    until = sim->now + FLEET_LOST_MS + NOTICE_MS;
+    until = sim->now + FLEET_MEMBER_TIMEOUT_MS + NOTICE_MS;
     while (sim->now < until) {
         fleet_sim_run(sim, sim->now + LOOK_MS);
         for (int i = 0; i < sim->count; i++) {
@@ -196,7 +196,7 @@
     for (int i = 0; i < LOST_UPSTREAMS; i++) {
         sim->upstreams[i].up = false;
     }
-    fleet_sim_run(sim, sim->now + FLEET_LOST_MS + DROP_MS);
+    fleet_sim_run(sim, sim->now + FLEET_MEMBER_TIMEOUT_MS + DROP_MS);
     count_lost(sim, &silent, &watched);
     g_assert_cmpuint(silent, ==, 0);
     g_assert_cmpuint(watched, ==, LOST_UPSTREAMS);
--- a/tests/test-size.c
+++ b/tests/test-size.c
@@ -258,7 +258,7 @@
                                flow_upstream(sim, n)) == NULL) {
                 fleet_resolve(&sim->nodes[n].fleet, sim->now,
                               upstream_token(flow_upstream(sim, n)));
-                fleet_spread(&sim->nodes[n].fleet, sim->now);
+                fleet_broadcast_changes(&sim->nodes[n].fleet, sim->now);
             }
         }
         if (count_resolved(sim) == NODES) {
