--- a/node-compress.c
+++ b/node-compress.c
@@ -1,5 +1,4 @@
-/* Routing tables, deflated: documents for the log, and tables between nodes.
- */
+/* zlib compression of routing tables, in the log and between nodes. */
 #include <glib.h>
 #include <zlib.h>
 
@@ -7,10 +6,11 @@
 #include "node.h"
 #include "route-wire.h"
 
-/* Deflates a document. What the log does not hold must not reach it: it would
- * be encoded to nothing, and acknowledged. */
+/* A document above WIRE_PACKED_MAX must be refused here: XDR would encode it
+ * as empty, and it would be acknowledged. */
 enum status_kind
-node_pack(const char *text, size_t length, wire_routes *out, struct status *st)
+node_compress(const char *text, size_t length, wire_routes *out,
+              struct status *st)
 {
     uLongf size = compressBound(length);
     Bytef *packed = g_malloc(size);
@@ -19,12 +19,12 @@
         Z_OK) {
         g_free(packed);
         return status_set(st, STATUS_NO_ANSWER,
-                          "memory is short; send the table again");
+                          "zlib ran out of memory; submit the table again");
     }
     if (size > WIRE_PACKED_MAX) {
         g_free(packed);
         return status_set(st, STATUS_REFUSED,
-                          "the table is %lu bytes when deflated, more than "
+                          "the compressed table has %lu bytes, the limit is "
                           "%u; use shorter names or fewer routes",
                           (unsigned long)size, (unsigned)WIRE_PACKED_MAX);
     }
@@ -34,22 +34,20 @@
     return STATUS_OK;
 }
 
-/* Deflates a table as nodes work by it. */
 enum status_kind
-node_pack_table(const struct route_table *table, wire_routes *out,
-                struct status *st)
+node_compress_table(const struct route_table *table, wire_routes *out,
+                    struct status *st)
 {
     GByteArray *bytes = route_encode(table);
 
     out->bundle_version = table->version;
-    (void)node_pack((const char *)bytes->data, bytes->len, out, st);
+    (void)node_compress((const char *)bytes->data, bytes->len, out, st);
     g_byte_array_unref(bytes);
     return st->kind;
 }
 
-/* Inflates a document. */
 char *
-node_unpack(const wire_routes *routes)
+node_decompress(const wire_routes *routes)
 {
     uLongf size = routes->length;
     char *text;
--- a/node-egress.c
+++ b/node-egress.c
@@ -1,7 +1,7 @@
 /*
- * What a node sends by datagrams, in the order of egress.h: at once while the
- * link is free, else in its turn. Owns the timer that waits for the link, and
- * tells the steering which packets have not left.
+ * Sends datagrams at the rate of this VM's link, in the order of egress.h.
+ * Owns the timer of the queues, and reports packets that were queued or
+ * dropped to evidence.h, whose timeouts must not count them as sent.
  */
 #include <arpa/inet.h>
 #include <errno.h>
@@ -12,7 +12,7 @@
 #include "loop.h"
 #include "node.h"
 
-/* Sends a datagram; what the socket does not take is lost as in a network. */
+/* A datagram that sendmsg() refuses is dropped. */
 void
 node_send_now(const struct node *node, const struct egress_head *head,
               const uint8_t *first, size_t first_length, const uint8_t *second,
@@ -39,10 +39,10 @@
     }
 }
 
-/* Says that a datagram is not sent; `waited` says that it was in a queue. */
+/* Logs and counts a dropped datagram. `was_queued`: it had been in a queue. */
 static void
-note_unsent(struct node *node, const struct egress_head *head, size_t length,
-            bool waited)
+report_unsent(struct node *node, const struct egress_head *head, size_t length,
+              bool was_queued)
 {
     char text[ADDRESS_TEXT];
 
@@ -55,28 +55,26 @@
               (unsigned long long)node->egress.bytes);
     if (head->kind == EGRESS_CALLER) {
         counter_add(&node->counters, COUNTER_PACKETS_UNSENT, 1);
-        evidence_note_dropped(&node->evidence, head->flow, waited);
+        evidence_note_dropped(&node->evidence, head->flow, was_queued);
     }
     else {
         counter_add(&node->counters, COUNTER_MSGS_UNSENT, 1);
     }
 }
 
-/* Says which datagrams waited in vain. */
 static void
-note_dropped(struct node *node)
+report_dropped(struct node *node)
 {
     struct egress_item *item;
 
     while ((item = egress_pop_dropped(&node->egress)) != NULL) {
-        note_unsent(node, &item->head, item->length, true);
+        report_unsent(node, &item->head, item->length, true);
         g_free(item);
     }
 }
 
-/* Sets the timer to when the link takes the next datagram. */
 static void
-wait_for_link(struct node *node)
+arm_egress_timer(struct node *node)
 {
     uint64_t due_us = egress_due_us(&node->egress);
 
@@ -85,28 +83,30 @@
     }
 }
 
-/* Charges the link with what the voter's thread sent past the queues: votes
- * and log entries wait for nothing. */
+/* Charges the link with the bytes that the voter's thread sent ahead of the
+ * queues. */
 static void
-charge_consensus(struct node *node)
+charge_consensus_bytes(struct node *node)
 {
-    uint64_t sent = counter_read(&node->counters, COUNTER_CONSENSUS_BYTES_OUT);
+    uint64_t bytes_sent =
+        counter_read(&node->counters, COUNTER_CONSENSUS_BYTES_OUT);
 
-    if (sent != node->consensus_charged) {
-        egress_charge(&node->egress, sent - node->consensus_charged);
-        node->consensus_charged = sent;
+    if (bytes_sent != node->consensus_bytes_charged) {
+        egress_charge(&node->egress,
+                      bytes_sent - node->consensus_bytes_charged);
+        node->consensus_bytes_charged = bytes_sent;
     }
 }
 
-/* The link takes datagrams again. */
+/* Sends queued datagrams when the link has room again. */
 static void
-on_link_free(void *data)
+on_link_ready(void *data)
 {
     struct node *node = data;
     uint64_t now_us = loop_now_us();
     struct egress_item *item;
 
-    charge_consensus(node);
+    charge_consensus_bytes(node);
     while ((item = egress_dequeue(&node->egress, now_us)) != NULL) {
         node_send_now(node, &item->head, item->bytes, item->length, NULL, 0);
         histogram_add(&node->histograms, HISTOGRAM_EGRESS,
@@ -117,20 +117,18 @@
         }
         g_free(item);
     }
-    note_dropped(node);
-    wait_for_link(node);
+    report_dropped(node);
+    arm_egress_timer(node);
 }
 
-/* Says whether a datagram is to be sent at once; else it waits, or is dropped.
- */
 bool
-node_may_send(struct node *node, const struct egress_head *head,
-              const uint8_t *first, size_t first_length, const uint8_t *second,
-              size_t second_length)
+node_egress_admit(struct node *node, const struct egress_head *head,
+                  const uint8_t *first, size_t first_length,
+                  const uint8_t *second, size_t second_length)
 {
-    bool waited = node->egress.bytes > 0;
+    bool was_queued = node->egress.bytes > 0;
 
-    charge_consensus(node);
+    charge_consensus_bytes(node);
     switch (egress_enqueue(&node->egress, loop_now_us(), head, first,
                            first_length, second, second_length)) {
     case EGRESS_SEND_NOW:
@@ -140,37 +138,35 @@
         if (head->kind == EGRESS_CALLER) {
             evidence_note_queued(&node->evidence, head->flow);
         }
-        note_dropped(node);
-        if (!waited) {
-            wait_for_link(node);
+        report_dropped(node);
+        if (!was_queued) {
+            arm_egress_timer(node);
         }
         return false;
     case EGRESS_DUPLICATE:
         counter_add(&node->counters, COUNTER_PACKETS_COPIES, 1);
         return false;
     case EGRESS_QUEUE_FULL:
-        note_unsent(node, head, first_length + second_length, false);
+        report_unsent(node, head, first_length + second_length, false);
         return false;
     }
     return false;
 }
 
-/* Sends a datagram, at once or in its turn. */
 void
 node_send(struct node *node, const struct egress_head *head,
           const uint8_t *first, size_t first_length, const uint8_t *second,
           size_t second_length)
 {
-    if (node_may_send(node, head, first, first_length, second,
-                      second_length)) {
+    if (node_egress_admit(node, head, first, first_length, second,
+                          second_length)) {
         node_send_now(node, head, first, first_length, second, second_length);
     }
 }
 
-/* Starts with a free link. */
 void
 node_open_egress(struct node *node)
 {
     egress_open(&node->egress, node->settings.link_kbit_s);
-    node->egress_timer = loop_timer_new(on_link_free, node);
+    node->egress_timer = loop_timer_new(on_link_ready, node);
 }
--- a/node-forward.c
+++ b/node-forward.c
@@ -1,8 +1,8 @@
 /*
- * Detours: packets of open flows whose upstream's data hall is cut off from
- * this node go by a node of another hall, which sends them straight on. Asks
- * nodes of that hall all the while whether they hear this one; the answer of
- * one ends the detour.
+ * Relay paths between data halls. When a hall is unreachable from this node,
+ * packets of open flows to upstreams there go through a node of another hall,
+ * encapsulated in a message; hello messages probe the hall until one of its
+ * nodes replies.
  */
 #include <string.h>
 
@@ -12,88 +12,92 @@
 #include "node.h"
 #include "platform/platform.h"
 
-/* Between two questions to a hall that is cut off. */
-#define PROBE_MS 250U
-/* Copies of a packet go by another node after so long: the one before may be
- * down. Copies come 0.2 s apart. */
-#define TURN_MS 150U
+/* Interval of the probes to an unreachable hall. */
+#define PROBE_INTERVAL_MS 250U
+/* After this time another relay is chosen, so that a retransmission (every 200
+ * ms) avoids a relay that is down. */
+#define RELAY_ROTATE_MS 150U
 
-/* A node by which a packet may take a detour to the hall `cut`; 0: none. */
+/* Address of a node through which packets reach `cut_hall`; 0: none. */
 static uint32_t
-carrier_of(const struct node *node, uint64_t now, uint32_t cut, uint64_t seed)
+choose_relay(const struct node *node, uint64_t now, uint32_t cut_hall,
+             uint64_t seed)
 {
     const GArray *halls = node->evidence.halls;
     uint32_t own = node->fleet.self.hall;
 
     for (guint i = 0; i < halls->len; i++) {
         guint at = (guint)((seed + i) % halls->len);
-        uint32_t by = g_array_index(halls, struct evidence_hall, at).hall;
-        const wire_node *carrier =
-            by != own && evidence_may_relay(&node->evidence, now, cut, by)
-                ? fleet_choose_forwarder(&node->fleet, now, by, seed)
+        uint32_t relay_hall =
+            g_array_index(halls, struct evidence_hall, at).hall;
+        const wire_node *relay =
+            relay_hall != own && evidence_may_relay(&node->evidence, now,
+                                                    cut_hall, relay_hall)
+                ? fleet_choose_forwarder(&node->fleet, now, relay_hall, seed)
                 : NULL;
 
-        if (carrier != NULL) {
-            return carrier->address;
+        if (relay != NULL) {
+            return relay->address;
         }
     }
     return 0;
 }
 
-/* Sends a packet by a node of another hall. */
 bool
-node_carry(struct node *node, uint64_t now,
-           const struct evidence_verdict *verdict, const uint8_t *packet,
-           size_t length)
+node_forward_via_relay(struct node *node, uint64_t now,
+                       const struct evidence_verdict *verdict,
+                       const uint8_t *packet, size_t length)
 {
-    uint32_t by = carrier_of(node, now, verdict->upstream->hall_hash,
-                             verdict->flow + now / TURN_MS);
+    uint32_t relay = choose_relay(node, now, verdict->upstream->hall_hash,
+                                  verdict->flow + now / RELAY_ROTATE_MS);
     wire_msg msg = {.kind = WIRE_CARRY};
-    wire_carry *carry = &msg.wire_msg_u.carry;
+    wire_carry *forwarded = &msg.wire_msg_u.carry;
     GByteArray *bytes;
 
-    if (by == 0) {
+    if (relay == 0) {
         return false;
     }
-    carry->upstream = verdict->upstream->id;
-    carry->packet.packet_val = (char *)packet;
-    carry->packet.packet_len = (u_int)length;
+    forwarded->upstream = verdict->upstream->id;
+    forwarded->packet.packet_val = (char *)packet;
+    forwarded->packet.packet_len = (u_int)length;
     bytes = codec_encode(&msg);
-    node_send_to_peer(node, by, bytes->data, bytes->len);
+    node_send_to_peer(node, relay, bytes->data, bytes->len);
     g_byte_array_unref(bytes);
     counter_add(&node->counters, COUNTER_PACKETS_CARRIED, 1);
     return true;
 }
 
-/* Sends a packet on that took a detour by this node, and nowhere else: so it
- * never goes round. */
+/* Only ever sends to the upstream itself, never to another relay, so that
+ * forwarding can't loop. */
 void
-node_take_carried(struct node *node, const wire_carry *carry)
+node_deliver_forwarded(struct node *node, const wire_carry *forwarded)
 {
     const struct upstream *u =
-        upstream_by_id(&node->upstreams, carry->upstream);
+        upstream_by_id(&node->upstreams, forwarded->upstream);
     uint8_t bytes[PLATFORM_PREFIX_BYTES + WIRE_PACKET_MAX];
-    size_t length = carry->packet.packet_len;
-    struct egress_head head = {.kind = EGRESS_CALLER, .flow = carry->upstream};
+    size_t length = forwarded->packet.packet_len;
+    struct egress_head head = {.kind = EGRESS_CALLER,
+                               .flow = forwarded->upstream};
 
     if (u == NULL || u->state == UPSTREAM_GONE) {
         counter_add(&node->counters, COUNTER_PACKETS_NO_EVIDENCE, 1);
         log_event(LOG_WARN, "packet-not-carried",
                   "upstream=%016llx reason=unknown-here",
-                  (unsigned long long)carry->upstream);
+                  (unsigned long long)forwarded->upstream);
         return;
     }
     head.address = u->address;
     head.port = u->port;
     platform_write_prefix(bytes, u->id);
-    memcpy(bytes + PLATFORM_PREFIX_BYTES, carry->packet.packet_val, length);
+    memcpy(bytes + PLATFORM_PREFIX_BYTES, forwarded->packet.packet_val,
+           length);
     node_send(node, &head, bytes, PLATFORM_PREFIX_BYTES + length, NULL, 0);
 }
 
-/* Asks all halls whether they hear this node: the one that is doubted, and
- * those by which its packets may go. */
+/* Probes all halls: those that are unreachable, and those that relays would be
+ * in. */
 static void
-ask_halls(struct node *node, uint64_t now)
+probe_halls(struct node *node, uint64_t now)
 {
     const GArray *halls = node->evidence.halls;
 
@@ -101,12 +105,12 @@
         fleet_probe_hall(&node->fleet, now,
                          g_array_index(halls, struct evidence_hall, i).hall);
     }
-    node->probe_at = now + PROBE_MS;
+    node->hall_probe_at = now + PROBE_INTERVAL_MS;
 }
 
-/* Name of a hall, from an upstream in it. */
+/* Name of a hall by its hash, taken from an upstream in it. */
 static const char *
-name_of(const struct node *node, uint32_t hall)
+hall_name(const struct node *node, uint32_t hall)
 {
     for (guint i = 0; i < node->upstreams.all->len; i++) {
         const struct upstream *u = node->upstreams.all->pdata[i];
@@ -118,56 +122,55 @@
     return "unknown";
 }
 
-/* Logs a hall that is cut off, once its nodes had time to answer, or reached
- * again. */
+/* Logs a hall that becomes unreachable, once a probe had time to be answered,
+ * or reachable again. */
 static void
-log_hall(const struct node *node, struct evidence_hall *hall, uint64_t now)
+log_hall_reachability(const struct node *node, struct evidence_hall *hall,
+                      uint64_t now)
 {
-    bool cut =
-        now < hall->suspected_until && now >= hall->suspected_at + PROBE_MS;
+    bool is_cut = now < hall->suspected_until &&
+                  now >= hall->suspected_at + PROBE_INTERVAL_MS;
 
-    if (cut && !hall->logged) {
+    if (is_cut && !hall->logged) {
         log_event(LOG_WARN, "hall-cut-off", "hall=%s avoided=%d",
-                  name_of(node, hall->hall), now < hall->avoid_until);
+                  hall_name(node, hall->hall), now < hall->avoid_until);
     }
     else if (hall->logged && now >= hall->suspected_until) {
         log_event(LOG_WARN, "hall-reached", "hall=%s",
-                  name_of(node, hall->hall));
+                  hall_name(node, hall->hall));
     }
     else {
         return;
     }
-    hall->logged = cut;
+    hall->logged = is_cut;
 }
 
-/* Asks about halls that are doubted, and logs what becomes of them. */
 void
-node_watch_halls(struct node *node, uint64_t now)
+node_probe_halls(struct node *node, uint64_t now)
 {
     GArray *halls = node->evidence.halls;
-    bool asks = false;
-    bool any = false;
+    bool probe_due = false;
+    bool any_cut = false;
 
     for (guint i = 0; i < halls->len; i++) {
         struct evidence_hall *hall =
             &g_array_index(halls, struct evidence_hall, i);
 
-        log_hall(node, hall, now);
-        asks = asks || hall->probe_due;
-        any = any || now < hall->suspected_until;
+        log_hall_reachability(node, hall, now);
+        probe_due = probe_due || hall->probe_due;
+        any_cut = any_cut || now < hall->suspected_until;
         hall->probe_due = false;
     }
-    if (!any) {
-        node->probe_at = 0;
+    if (!any_cut) {
+        node->hall_probe_at = 0;
     }
-    else if (asks || now >= node->probe_at) {
-        ask_halls(node, now);
+    else if (probe_due || now >= node->hall_probe_at) {
+        probe_halls(node, now);
     }
 }
 
-/* Says whether a hall is to be asked. */
 bool
-node_asks_halls(const struct node *node)
+node_hall_probe_due(const struct node *node)
 {
     const GArray *halls = node->evidence.halls;
 
--- a/node-http.c
+++ b/node-http.c
@@ -1,9 +1,8 @@
 /*
- * A node's HTTP: the fabric asks whether it is ready, upstreams register,
- * and counters are served; what operators order is node-operator.c's. On
- * libmicrohttpd inside the loop, since an operator's call waits for a quorum
- * and a thread for each call costs too much on the smallest VMs (ulfius, which
- * is built on it, can't suspend a call).
+ * The HTTP server of a node: health checks, registrations of upstreams and
+ * metrics; node-operator.c has the requests of operators. Uses libmicrohttpd
+ * within the event loop, since a request that awaits a quorum is suspended
+ * instead of blocking a thread.
  */
 #include <arpa/inet.h>
 #include <stdio.h>
@@ -18,35 +17,35 @@
 #include "page.h"
 #include "platform/platform.h"
 
-#define IDLE_CONNECTION_S 10U /* callers keep none open longer unused */
-#define ANSWER_MAX 256        /* bytes of the answer to a registration */
+#define CONNECTION_IDLE_S 10U      /* idle timeout of keep-alive connections */
+#define REGISTRATION_REPLY_MAX 256 /* bytes */
 #define FLOWS_PATH "/v1/flows/"
-#define COUNTERS_MAX 65536 /* bytes of the page of counters */
+#define METRICS_MAX 65536 /* bytes */
 
-/* Queues an answer. */
 enum MHD_Result
-node_http_answer(struct call *call, unsigned code, const char *type,
-                 const char *body, size_t length)
+node_http_respond(struct http_request *request, unsigned status_code,
+                  const char *type, const char *body, size_t length)
 {
-    struct MHD_Response *out = library_microhttpd.new_response(
+    struct MHD_Response *response = library_microhttpd.new_response(
         length, (void *)body, MHD_RESPMEM_MUST_COPY);
     enum MHD_Result result;
 
     if (length > 0) {
-        (void)library_microhttpd.add_header(out, "Content-Type", type);
+        (void)library_microhttpd.add_header(response, "Content-Type", type);
     }
-    if (code == MHD_HTTP_SERVICE_UNAVAILABLE) {
-        (void)library_microhttpd.add_header(out, "Retry-After",
-                                            NODE_HTTP_RETRY_S);
+    if (status_code == MHD_HTTP_SERVICE_UNAVAILABLE) {
+        (void)library_microhttpd.add_header(response, "Retry-After",
+                                            NODE_HTTP_RETRY_AFTER_S);
     }
-    result = library_microhttpd.queue(call->connection, code, out);
-    library_microhttpd.free_response(out);
+    result =
+        library_microhttpd.queue(request->connection, status_code, response);
+    library_microhttpd.free_response(response);
     return result;
 }
 
-/* Answers with a reason. */
 enum MHD_Result
-node_http_refuse(struct call *call, unsigned code, const char *reason)
+node_http_respond_error(struct http_request *request, unsigned status_code,
+                        const char *reason)
 {
     char body[STATUS_MESSAGE_MAX + 64];
     json_object *doc = json_object_new_object();
@@ -56,30 +55,30 @@
     text = json_object_to_json_string(doc);
     g_strlcpy(body, text, sizeof(body));
     json_object_put(doc);
-    return node_http_answer(call, code, "application/json", body,
-                            strlen(body));
+    return node_http_respond(request, status_code, "application/json", body,
+                             strlen(body));
 }
 
-/* An upstream registers. */
 static enum MHD_Result
-register_upstream(struct call *call, const char *id)
+register_upstream(struct http_request *request, const char *id)
 {
-    struct node *node = call->node;
+    struct node *node = request->node;
     struct upstream_registration registration;
     struct status st = {STATUS_OK, ""};
-    char body[ANSWER_MAX];
+    char body[REGISTRATION_REPLY_MAX];
     size_t length;
 
-    if (platform_read_registration(id, (const char *)call->body->data,
-                                   call->body->len, &registration,
+    if (platform_read_registration(id, (const char *)request->body->data,
+                                   request->body->len, &registration,
                                    &st) != STATUS_OK) {
         counter_add(&node->counters, COUNTER_REGISTRATIONS_REFUSED, 1);
         log_event(LOG_WARN, "registration-refused", "reason=\"%s\"",
                   st.message);
-        return node_http_refuse(call, MHD_HTTP_BAD_REQUEST, st.message);
+        return node_http_respond_error(request, MHD_HTTP_BAD_REQUEST,
+                                       st.message);
     }
     counter_add(&node->counters, COUNTER_REGISTRATIONS, 1);
-    call->registers = true;
+    request->is_registration = true;
     if (!upstream_register(&node->upstreams, loop_now(), &registration)) {
         counter_add(&node->counters, COUNTER_REGISTRATIONS_LATE, 1);
         log_event(LOG_INFO, "registration-late",
@@ -89,253 +88,253 @@
                   (unsigned long long)registration.sequence,
                   registration.leaving);
     }
-    node_act(node);
-    if (node->unready_at != 0) {
-        return node_http_answer(call, MHD_HTTP_OK, "application/json", "{}",
-                                2);
+    node_run_actions(node);
+    if (node->stopping_since != 0) {
+        return node_http_respond(request, MHD_HTTP_OK, "application/json",
+                                 "{}", 2);
     }
     length = platform_write_registration_reply(node->settings.control.address,
                                                node->settings.control.port,
                                                body, sizeof(body));
-    return node_http_answer(call, MHD_HTTP_OK, "application/json", body,
-                            length);
+    return node_http_respond(request, MHD_HTTP_OK, "application/json", body,
+                             length);
 }
 
-/* An upstream ends. */
 static enum MHD_Result
-deregister_upstream(struct call *call, const char *text)
+deregister_upstream(struct http_request *request, const char *text)
 {
-    struct node *node = call->node;
+    struct node *node = request->node;
     struct status st = {STATUS_OK, ""};
-    uint64_t born;
+    uint64_t started_at;
     uint64_t id;
 
     if (platform_read_id(text, &id, &st) != STATUS_OK ||
-        platform_read_deregistration((const char *)call->body->data,
-                                     call->body->len, &born,
+        platform_read_deregistration((const char *)request->body->data,
+                                     request->body->len, &started_at,
                                      &st) != STATUS_OK) {
         counter_add(&node->counters, COUNTER_REGISTRATIONS_REFUSED, 1);
         log_event(LOG_WARN, "end-refused", "reason=\"%s\"", st.message);
-        return node_http_refuse(call, MHD_HTTP_BAD_REQUEST, st.message);
+        return node_http_respond_error(request, MHD_HTTP_BAD_REQUEST,
+                                       st.message);
     }
-    if (!upstream_deregister(&node->upstreams, loop_now(), id, born)) {
+    if (!upstream_deregister(&node->upstreams, loop_now(), id, started_at)) {
         counter_add(&node->counters, COUNTER_REGISTRATIONS_LATE, 1);
         log_event(LOG_INFO, "end-late", "upstream=%llx",
                   (unsigned long long)id);
-        return node_http_refuse(
-            call, MHD_HTTP_CONFLICT,
-            "another start of this upstream has just begun; say by "
-            "\"born\" which one ends");
+        return node_http_respond_error(
+            request, MHD_HTTP_CONFLICT,
+            "the upstream has restarted since; set \"born\" to the start "
+            "time of the process that ended");
     }
-    node_act(node);
-    return node_http_answer(call, MHD_HTTP_OK, "application/json", "{}", 2);
+    node_run_actions(node);
+    return node_http_respond(request, MHD_HTTP_OK, "application/json", "{}",
+                             2);
 }
 
-/* Serves the counters and histograms. */
 static enum MHD_Result
-serve_counters(struct call *call)
+serve_metrics(struct http_request *request)
 {
-    struct node *node = call->node;
-    char *text = g_malloc(COUNTERS_MAX);
+    struct node *node = request->node;
+    char *text = g_malloc(METRICS_MAX);
     enum MHD_Result result;
     size_t length;
 
     node->counters.value[COUNTER_LOG_LINES_LOST] = log_lost();
-    length = counter_print(&node->counters, text, COUNTERS_MAX);
+    length = counter_print(&node->counters, text, METRICS_MAX);
     length += histogram_print(&node->histograms, text + length,
-                              COUNTERS_MAX - length);
-    length += page_print_process(text + length, COUNTERS_MAX - length);
-    result = node_http_answer(call, MHD_HTTP_OK, "text/plain; version=0.0.4",
-                              text, length);
+                              METRICS_MAX - length);
+    length += page_print_process(text + length, METRICS_MAX - length);
+    result = node_http_respond(request, MHD_HTTP_OK,
+                               "text/plain; version=0.0.4", text, length);
     g_free(text);
     return result;
 }
 
-/* Serves a document, which is released. */
+/* Releases `doc`. */
 static enum MHD_Result
-serve_page(struct call *call, json_object *doc)
+respond_json(struct http_request *request, json_object *doc)
 {
     const char *text = json_object_to_json_string(doc);
-    enum MHD_Result result = node_http_answer(
-        call, MHD_HTTP_OK, "application/json", text, strlen(text));
+    enum MHD_Result result = node_http_respond(
+        request, MHD_HTTP_OK, "application/json", text, strlen(text));
 
     json_object_put(doc);
     return result;
 }
 
-/* Serves operators' pages: counters, the node's state, a flow's decisions. */
+/* Serves metrics, the node's status, or the decisions about a flow. */
 static enum MHD_Result
-serve_operators(struct call *call, const char *path)
+serve_operator_page(struct http_request *request, const char *path)
 {
     size_t prefix = strlen(FLOWS_PATH);
     char *end = NULL;
     uint64_t flow;
 
     if (strcmp(path, "/v1/status") == 0) {
-        return serve_page(call, node_status(call->node));
+        return respond_json(request, node_status(request->node));
     }
     if (strncmp(path, FLOWS_PATH, prefix) == 0) {
         flow = g_ascii_strtoull(path + prefix, &end, 16);
         if (end == path + prefix || *end != '\0') {
-            return node_http_refuse(
-                call, MHD_HTTP_BAD_REQUEST,
-                "a flow is 16 hex digits, as the log names it");
+            return node_http_respond_error(
+                request, MHD_HTTP_BAD_REQUEST,
+                "invalid flow; use the 16 hex digits of flow= in the log");
         }
-        return serve_page(call, node_explain(call->node, flow));
+        return respond_json(request, node_explain(request->node, flow));
     }
-    return serve_counters(call);
+    return serve_metrics(request);
 }
 
-/* Answers a call whose body has arrived. */
 static enum MHD_Result
-serve(struct call *call, enum node_port port, const char *method,
-      const char *path)
+handle_request(struct http_request *request, enum node_http_listener port,
+               const char *method, const char *path)
 {
     const char *rest = "";
 
-    if (port == NODE_METRICS) {
-        return serve_operators(call, path);
+    if (port == NODE_HTTP_METRICS) {
+        return serve_operator_page(request, path);
     }
-    if (call->too_large) {
-        return node_http_refuse(call, MHD_HTTP_CONTENT_TOO_LARGE,
-                                "the body is larger than 4 MiB");
+    if (request->too_large) {
+        return node_http_respond_error(
+            request, MHD_HTTP_CONTENT_TOO_LARGE,
+            "the body exceeds 4 MiB; send a smaller one");
     }
     switch (platform_classify(method, path, &rest)) {
     case PLATFORM_READY:
-        return node_http_answer(call,
-                                node_is_ready(call->node)
-                                    ? MHD_HTTP_OK
-                                    : MHD_HTTP_SERVICE_UNAVAILABLE,
-                                "text/plain", "", 0);
+        return node_http_respond(request,
+                                 node_is_ready(request->node)
+                                     ? MHD_HTTP_OK
+                                     : MHD_HTTP_SERVICE_UNAVAILABLE,
+                                 "text/plain", "", 0);
     case PLATFORM_REGISTER:
-        return register_upstream(call, rest);
+        return register_upstream(request, rest);
     case PLATFORM_DEREGISTER:
-        return deregister_upstream(call, rest);
+        return deregister_upstream(request, rest);
     case PLATFORM_SUBMIT:
-        return node_operator_submit(call, path);
+        return node_operator_submit(request, path);
     case PLATFORM_READ:
-        return node_operator_read(call, path);
+        return node_operator_read(request, path);
     case PLATFORM_DRAIN_HALL:
-        return node_operator_order(call, path, rest, true);
+        return node_operator_set_hall(request, path, rest, true);
     case PLATFORM_UNDRAIN_HALL:
-        return node_operator_order(call, path, rest, false);
+        return node_operator_set_hall(request, path, rest, false);
     case PLATFORM_UNKNOWN:
         break;
     }
-    counter_add(&call->node->counters, COUNTER_HTTP_MALFORMED, 1);
-    return node_http_refuse(call, MHD_HTTP_NOT_FOUND,
-                            "nothing is served here");
+    counter_add(&request->node->counters, COUNTER_HTTP_MALFORMED, 1);
+    return node_http_respond_error(
+        request, MHD_HTTP_NOT_FOUND,
+        "unknown path or method; check the request line");
 }
 
-/* Which daemon this is. */
-static enum node_port
-port_of(const struct node *node, const struct MHD_Daemon *daemon)
+static enum node_http_listener
+listener_of(const struct node *node, const struct MHD_Daemon *daemon)
 {
-    for (int i = 0; i < NODE_PORTS; i++) {
+    for (int i = 0; i < NODE_HTTP_COUNT; i++) {
         if (node->http[i] == daemon) {
-            return (enum node_port)i;
+            return (enum node_http_listener)i;
         }
     }
-    return NODE_READY;
+    return NODE_HTTP_READY;
 }
 
-/* Takes a call: its head, then its body in parts, then once more. */
+/* libmicrohttpd calls this for the headers, for each piece of the body, and
+ * once more at its end. */
 static enum MHD_Result
-on_call(void *data, struct MHD_Connection *connection, const char *path,
-        const char *method, const char *version, const char *upload,
-        size_t *upload_size, void **state)
+on_request(void *data, struct MHD_Connection *connection, const char *path,
+           const char *method, const char *version, const char *upload,
+           size_t *upload_size, void **state)
 {
     struct node *node = data;
-    struct call *call = *state;
+    struct http_request *request = *state;
     const union MHD_ConnectionInfo *info;
 
     (void)version;
-    if (call == NULL) {
-        call = g_new0(struct call, 1);
-        call->node = node;
-        call->connection = connection;
-        call->body = g_byte_array_new();
-        call->began_us = loop_now_us();
-        *state = call;
+    if (request == NULL) {
+        request = g_new0(struct http_request, 1);
+        request->node = node;
+        request->connection = connection;
+        request->body = g_byte_array_new();
+        request->started_us = loop_now_us();
+        *state = request;
         return MHD_YES;
     }
     if (*upload_size > 0) {
-        call->too_large = call->too_large ||
-                          call->body->len + *upload_size > PLATFORM_BODY_MAX;
-        if (!call->too_large) {
-            g_byte_array_append(call->body, (const guint8 *)upload,
+        request->too_large =
+            request->too_large ||
+            request->body->len + *upload_size > PLATFORM_BODY_MAX;
+        if (!request->too_large) {
+            g_byte_array_append(request->body, (const guint8 *)upload,
                                 (guint)*upload_size);
         }
         *upload_size = 0;
         return MHD_YES;
     }
-    if (call->out != NULL) {
-        return library_microhttpd.queue(connection, call->code, call->out);
+    if (request->response != NULL) {
+        return library_microhttpd.queue(connection, request->status_code,
+                                        request->response);
     }
-    if (call->token != 0) {
+    if (request->token != 0) {
         return MHD_YES;
     }
     info = library_microhttpd.connection_info(connection,
                                               MHD_CONNECTION_INFO_DAEMON);
-    return serve(call, port_of(node, info->daemon), method, path);
+    return handle_request(request, listener_of(node, info->daemon), method,
+                          path);
 }
 
-/* A call is over: notes how long a registration took, and frees it. */
 static void
-on_done(void *data, struct MHD_Connection *connection, void **state,
-        enum MHD_RequestTerminationCode code)
+on_request_done(void *data, struct MHD_Connection *connection, void **state,
+                enum MHD_RequestTerminationCode status_code)
 {
     struct node *node = data;
-    struct call *call = *state;
+    struct http_request *request = *state;
 
     (void)connection;
-    (void)code;
-    if (call == NULL) {
+    (void)status_code;
+    if (request == NULL) {
         return;
     }
-    if (call->registers) {
+    if (request->is_registration) {
         histogram_add(&node->histograms, HISTOGRAM_REGISTRATION,
-                      loop_now_us() - call->began_us);
+                      loop_now_us() - request->started_us);
     }
-    if (call->token != 0) {
-        (void)g_hash_table_remove(node->calls, &call->token);
+    if (request->token != 0) {
+        (void)g_hash_table_remove(node->pending_requests, &request->token);
     }
-    if (call->out != NULL) {
-        library_microhttpd.free_response(call->out);
+    if (request->response != NULL) {
+        library_microhttpd.free_response(request->response);
     }
-    g_byte_array_unref(call->body);
-    g_free(call);
+    g_byte_array_unref(request->body);
+    g_free(request);
     *state = NULL;
 }
 
-/* Lets a daemon do what is due. */
 static void
-on_daemon(void *data)
+on_daemon_event(void *data)
 {
     struct MHD_Daemon *daemon = data;
 
     (void)library_microhttpd.run(daemon);
 }
 
-/* Lets all daemons do what is due. */
 void
 node_poll_http(struct node *node)
 {
-    for (int i = 0; i < NODE_PORTS; i++) {
+    for (int i = 0; i < NODE_HTTP_COUNT; i++) {
         if (node->http[i] != NULL) {
             (void)library_microhttpd.run(node->http[i]);
         }
     }
 }
 
-/* When a daemon wants to run next. */
 uint64_t
 node_http_deadline(struct node *node)
 {
     uint64_t at = UINT64_MAX;
     uint64_t now = loop_now();
 
-    for (int i = 0; i < NODE_PORTS; i++) {
+    for (int i = 0; i < NODE_HTTP_COUNT; i++) {
         MHD_UNSIGNED_LONG_LONG wait;
 
         if (node->http[i] != NULL &&
@@ -346,31 +345,30 @@
     return at;
 }
 
-/* Opens one daemon. */
 static bool
-open_daemon(struct node *node, enum node_port which, uint32_t address,
-            uint16_t port)
+start_daemon(struct node *node, enum node_http_listener listener,
+             uint32_t address, uint16_t port)
 {
     struct sockaddr_in at = {.sin_family = AF_INET,
                              .sin_port = htons(port),
                              .sin_addr.s_addr = htonl(address)};
     const union MHD_DaemonInfo *info;
 
-    node->http[which] = library_microhttpd.start(
-        MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME, port, NULL, NULL, on_call,
-        node, MHD_OPTION_SOCK_ADDR, &at, MHD_OPTION_NOTIFY_COMPLETED, on_done,
-        node, MHD_OPTION_CONNECTION_TIMEOUT, IDLE_CONNECTION_S,
-        MHD_OPTION_LISTENING_ADDRESS_REUSE, 1U, MHD_OPTION_END);
-    if (node->http[which] == NULL) {
+    node->http[listener] = library_microhttpd.start(
+        MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME, port, NULL, NULL, on_request,
+        node, MHD_OPTION_SOCK_ADDR, &at, MHD_OPTION_NOTIFY_COMPLETED,
+        on_request_done, node, MHD_OPTION_CONNECTION_TIMEOUT,
+        CONNECTION_IDLE_S, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1U,
+        MHD_OPTION_END);
+    if (node->http[listener] == NULL) {
         return false;
     }
-    info = library_microhttpd.daemon_info(node->http[which],
+    info = library_microhttpd.daemon_info(node->http[listener],
                                           MHD_DAEMON_INFO_EPOLL_FD);
-    loop_watch(info->epoll_fd, on_daemon, node->http[which]);
+    loop_watch(info->epoll_fd, on_daemon_event, node->http[listener]);
     return true;
 }
 
-/* Opens HTTP. */
 enum status_kind
 node_open_http(struct node *node, struct status *st)
 {
@@ -379,12 +377,13 @@
     if (library_load(LIBRARY_MICROHTTPD, st) != STATUS_OK) {
         return st->kind;
     }
-    if (!open_daemon(node, NODE_READY, s->ready.address, s->ready.port) ||
-        !open_daemon(node, NODE_CONTROL, s->control.address,
-                     s->control.port) ||
+    if (!start_daemon(node, NODE_HTTP_READY, s->ready.address,
+                      s->ready.port) ||
+        !start_daemon(node, NODE_HTTP_CONTROL, s->control.address,
+                      s->control.port) ||
         (s->metrics_port != 0 &&
-         !open_daemon(node, NODE_METRICS, s->control.address,
-                      (uint16_t)s->metrics_port))) {
+         !start_daemon(node, NODE_HTTP_METRICS, s->control.address,
+                       (uint16_t)s->metrics_port))) {
         return status_set(st, STATUS_IO,
                           "cannot listen on \"ready\", \"control\" or "
                           "\"metrics_port\"; free the port or set another");
@@ -392,18 +391,17 @@
     return STATUS_OK;
 }
 
-/* Closes HTTP; calls that wait are answered first. */
 void
 node_close_http(struct node *node)
 {
     struct status st = {STATUS_NO_ANSWER, "this node stops; ask another"};
-    GList *tokens = g_hash_table_get_keys(node->calls);
+    GList *tokens = g_hash_table_get_keys(node->pending_requests);
 
     for (GList *at = tokens; at != NULL; at = at->next) {
-        node_answer(node, *(uint64_t *)at->data, &st, NULL);
+        node_complete_request(node, *(uint64_t *)at->data, &st, NULL);
     }
     g_list_free(tokens);
-    for (int i = 0; i < NODE_PORTS; i++) {
+    for (int i = 0; i < NODE_HTTP_COUNT; i++) {
         if (node->http[i] != NULL) {
             library_microhttpd.stop(node->http[i]);
             node->http[i] = NULL;
--- a/node-http.h
+++ b/node-http.h
@@ -1,48 +1,56 @@
 /**
  * @file node-http.h
- * What node-http.c and node-operator.c share: one call over HTTP, and how it
- * is answered. Nothing else includes it.
+ * HTTP requests to a node and their responses, shared by node-http.c and
+ * node-operator.c.
  */
 #ifndef RIDGERIDGE_NODE_HTTP_H
 #define RIDGERIDGE_NODE_HTTP_H
 
 #include "node.h"
 
-#define NODE_HTTP_RETRY_S "1" /**< an election takes about that long */
+#define NODE_HTTP_RETRY_AFTER_S                                               \
+    "1" /**< about the duration of a leader election */
 
-/* What an operator's call that waits for the voter does. */
-enum call_kind { CALL_READ, CALL_TABLE, CALL_HALL };
+/* Requests of operators that the voter handles. */
+enum http_request_kind {
+    REQUEST_READ_TABLE,
+    REQUEST_SUBMIT_TABLE,
+    REQUEST_SET_HALL
+};
 
-/* One call. */
-struct call {
+struct http_request {
     struct node *node;
     struct MHD_Connection *connection;
     GByteArray *body;
-    bool too_large;           /* the body is past PLATFORM_BODY_MAX */
-    bool registers;           /* is a registration */
-    enum call_kind kind;      /* of an operator's call */
-    uint64_t token;           /* 0: not suspended */
-    uint64_t began_us;        /* for its duration */
-    struct MHD_Response *out; /* set when it is resumed */
-    unsigned code;            /* of `out` */
+    bool too_large; /* the body exceeds PLATFORM_BODY_MAX */
+    bool is_registration;
+    enum http_request_kind kind;   /* of an operator's request */
+    uint64_t token;                /* 0: not suspended */
+    uint64_t started_us;           /* to measure its latency */
+    struct MHD_Response *response; /* set before it resumes */
+    unsigned status_code;          /* of `response` */
 };
 
 /* node-http.c */
-/** Queues an answer. */
-enum MHD_Result node_http_answer(struct call *call, unsigned code,
-                                 const char *type, const char *body,
-                                 size_t length);
-/** Answers with a reason. */
-enum MHD_Result node_http_refuse(struct call *call, unsigned code,
-                                 const char *reason);
+/** Queues a response. */
+enum MHD_Result node_http_respond(struct http_request *request,
+                                  unsigned status_code, const char *type,
+                                  const char *body, size_t length);
+/** Queues an error response with a reason. */
+enum MHD_Result node_http_respond_error(struct http_request *request,
+                                        unsigned status_code,
+                                        const char *reason);
 
 /* node-operator.c */
-/** An operator sends a table. */
-enum MHD_Result node_operator_submit(struct call *call, const char *path);
-/** An operator empties a hall, or takes it back. */
-enum MHD_Result node_operator_order(struct call *call, const char *path,
-                                    const char *hall, bool emptied);
-/** An operator asks for the table. */
-enum MHD_Result node_operator_read(struct call *call, const char *path);
+/** Handles the submission of a routing table. */
+enum MHD_Result node_operator_submit(struct http_request *request,
+                                     const char *path);
+/** Handles an order that drains or undrains a data hall. */
+enum MHD_Result node_operator_set_hall(struct http_request *request,
+                                       const char *path, const char *hall,
+                                       bool drained);
+/** Handles a read of the committed table. */
+enum MHD_Result node_operator_read(struct http_request *request,
+                                   const char *path);
 
 #endif
--- a/node-packets.c
+++ b/node-packets.c
@@ -1,6 +1,6 @@
 /*
- * Callers' packets: in batches from the fabric, through the steering, and on
- * to upstreams or, as resets, back to callers.
+ * The data path: reads callers' packets in batches, has evidence.h choose an
+ * upstream for each, and forwards them or resets the flow.
  */
 #include <arpa/inet.h>
 #include <errno.h>
@@ -15,43 +15,42 @@
 #include "node-status.h"
 #include "platform/platform.h"
 
-#define BATCH 64         /* packets taken by one call of the kernel */
-#define BATCHES_A_TURN 4 /* then other events have their turn */
+#define BATCH_PACKETS 64     /* packets per recvmmsg() call */
+#define BATCHES_PER_WAKEUP 4 /* then other events are handled */
 #define PACKET_MAX (PLATFORM_HEADER_BYTES + PLATFORM_DATA_MAX)
-#define SOCKET_BUFFER (1024 * 1024) /* for a burst while it stands still */
-#define HELD_MAX 256 /* packets of half a second on the smallest VMs */
-#define HOLD_MS 500U /* callers send again after 200 and 600 ms */
-/* A first packet is held for less, since its copy, after 200 ms, may open the
- * flow elsewhere meanwhile. */
+#define SOCKET_BUFFER (1024 * 1024) /* bytes; holds a burst during a stall */
+#define HELD_MAX 256                /* packets */
+#define HOLD_MS 500U /* callers retransmit after 200 and 600 ms */
+/* A first packet is held for less than the caller's first retransmission
+ * timeout (200 ms): the copy may open the flow at another node. */
 #define HOLD_FIRST_MS 150U
-/* When the loop wakes up so late, first packets that waited meanwhile may have
- * been answered elsewhere. */
+/* After a stall of this length first packets are dropped, since a copy may
+ * have opened the flow at another node. */
 #define STALE_MS 150U
 
-/* One batch. Each packet has room before it for the prefix. */
+/* Buffers of one batch; each packet follows room for its prefix. */
 static struct {
-    uint8_t buffers[BATCH][PLATFORM_PREFIX_BYTES + PACKET_MAX + 1];
-    struct iovec in[BATCH];
-    struct iovec out[BATCH];
-    struct sockaddr_in to[BATCH];
-    struct mmsghdr received[BATCH];
-    struct mmsghdr sent[BATCH];
+    uint8_t buffers[BATCH_PACKETS][PLATFORM_PREFIX_BYTES + PACKET_MAX + 1];
+    struct iovec in[BATCH_PACKETS];
+    struct iovec out[BATCH_PACKETS];
+    struct sockaddr_in to[BATCH_PACKETS];
+    struct mmsghdr received[BATCH_PACKETS];
+    struct mmsghdr sent[BATCH_PACKETS];
     unsigned sent_count;
 } batch;
 
-/* A packet that waits until this node knows more. */
-struct held {
-    uint64_t until; /* deadline: dropped then */
-    size_t length;  /* of the packet */
-    uint8_t bytes[PLATFORM_PREFIX_BYTES + PACKET_MAX]; /* room, packet */
+/* A packet that waits for the table or the inventory. */
+struct held_packet {
+    uint64_t expires_at; /* deadline: dropped */
+    size_t length;       /* of the packet, without prefix */
+    uint8_t bytes[PLATFORM_PREFIX_BYTES + PACKET_MAX]; /* prefix, packet */
 };
 
-static struct held *held; /* HELD_MAX of them, made when first needed */
+static struct held_packet *held_packets; /* HELD_MAX, allocated on first use */
 static unsigned held_count;
 
-/* Addresses a packet that leaves. */
 static void
-put_out(uint32_t address, uint16_t port, uint8_t *bytes, size_t length)
+batch_add(uint32_t address, uint16_t port, uint8_t *bytes, size_t length)
 {
     unsigned i = batch.sent_count++;
 
@@ -65,9 +64,9 @@
                                             .msg_iovlen = 1};
 }
 
-/* Sends the batch; what the socket does not take is lost as in a network. */
+/* Sends the batch; a packet that sendmmsg() refuses is dropped. */
 static void
-send_out(struct node *node)
+batch_send(struct node *node)
 {
     unsigned at = 0;
 
@@ -85,9 +84,8 @@
     batch.sent_count = 0;
 }
 
-/* Names a decision in the log. */
 static const char *
-event_name(enum evidence_action action)
+action_event(enum evidence_action action)
 {
     switch (action) {
     case EVIDENCE_FORWARD:
@@ -102,21 +100,20 @@
     return "";
 }
 
-/* What every line about a decision says first. */
+/* Fields common to the log lines about a decision. */
 struct decision_text {
     char caller[ADDRESS_TEXT];
-    char place[ADDRESS_TEXT];
+    char route[ADDRESS_TEXT];
     const char *event;
     const char *rule;
     unsigned long long flow;
-    unsigned long long version; /* of the table in force */
+    unsigned long long version; /* of the table in use */
 };
 
-/* Writes that a new flow was placed, and by what. */
 static void
-log_placed(const struct decision_text *text,
-           const struct evidence_packet *packet,
-           const struct evidence_verdict *verdict)
+log_assigned(const struct decision_text *text,
+             const struct evidence_packet *packet,
+             const struct evidence_verdict *verdict)
 {
     const struct upstream *u = verdict->upstream;
 
@@ -124,22 +121,22 @@
               "flow=%016llx caller=%s route=%s rule=%s upstream=%llx "
               "busy=%u open=%u candidates=%u emptied=%u cold=%u copies=%u "
               "version=%llu",
-              text->flow, text->caller, text->place, text->rule,
+              text->flow, text->caller, text->route, text->rule,
               (unsigned long long)u->id, u->busy, u->open, verdict->candidates,
               verdict->drained, verdict->warming,
               packet->first ? packet->acknowledged : 0, text->version);
 }
 
-/* Writes that an open flow ends, and what is believed of its upstream. */
+/* Logs the reset of an open flow, with the state of its upstream. */
 static void
-log_ended(const struct decision_text *text, const struct upstream *u)
+log_flow_end(const struct decision_text *text, const struct upstream *u)
 {
     uint64_t now = loop_now();
 
     log_event(LOG_INFO, text->event,
               "flow=%016llx caller=%s route=%s rule=%s upstream=%llx "
               "state=%s sequence=%llu keeper=%08x quiet_ms=%llu version=%llu",
-              text->flow, text->caller, text->place, text->rule,
+              text->flow, text->caller, text->route, text->rule,
               (unsigned long long)u->id, upstream_state_name(u->state),
               (unsigned long long)u->sequence, u->keeper,
               (unsigned long long)(u->last_progress_at != 0
@@ -148,14 +145,13 @@
               text->version);
 }
 
-/* Writes one line about a decision that is not simply the evidence, and
- * keeps it to be explained. */
+/* Logs and records a decision, unless the packet's token alone decided it. */
 static void
 log_verdict(struct node *node, const struct evidence_packet *packet,
             const struct evidence_verdict *verdict)
 {
     struct decision_text text = {
-        .event = event_name(verdict->action),
+        .event = action_event(verdict->action),
         .rule = ring_rule_name(verdict->rule),
         .flow = verdict->flow,
         .version = node->evidence.table->version,
@@ -164,55 +160,55 @@
     if (verdict->rule == RULE_EVIDENCE) {
         return;
     }
-    node_record(node, packet, verdict);
+    node_record_decision(node, packet, verdict);
     (void)address_format(packet->source, packet->source_port, text.caller);
     (void)address_format(packet->destination, packet->destination_port,
-                         text.place);
+                         text.route);
     if (verdict->action == EVIDENCE_FORWARD) {
-        log_placed(&text, packet, verdict);
+        log_assigned(&text, packet, verdict);
     }
     else if (verdict->upstream != NULL) {
-        log_ended(&text, verdict->upstream);
+        log_flow_end(&text, verdict->upstream);
     }
     else {
         log_event(LOG_INFO, text.event,
                   "flow=%016llx caller=%s route=%s rule=%s token=%08x "
                   "first=%d version=%llu",
-                  text.flow, text.caller, text.place, text.rule, packet->token,
+                  text.flow, text.caller, text.route, text.rule, packet->token,
                   packet->first, text.version);
     }
 }
 
-/* Drops held packets whose deadline is over, to make room. */
 static void
 drop_expired(struct node *node)
 {
     uint64_t now = loop_now();
-    unsigned kept = 0;
+    unsigned remaining = 0;
 
     for (unsigned i = 0; i < held_count; i++) {
-        if (now >= held[i].until) {
+        if (now >= held_packets[i].expires_at) {
             counter_add(&node->counters, COUNTER_PACKETS_NO_EVIDENCE, 1);
         }
-        else if (kept++ != i) {
-            held[kept - 1] = held[i];
+        else if (remaining++ != i) {
+            held_packets[remaining - 1] = held_packets[i];
         }
     }
-    held_count = kept;
+    held_count = remaining;
 }
 
-/* Holds a packet; drops it when too many are held. */
+/* Holds a packet; drops it when HELD_MAX packets are still held. */
 static void
-hold(struct node *node, uint64_t until, const uint8_t *bytes, size_t length)
+hold(struct node *node, uint64_t expires_at, const uint8_t *bytes,
+     size_t length)
 {
-    struct held *place;
+    struct held_packet *slot;
 
     if (fault_is(FAULT_NO_HOLD)) {
         counter_add(&node->counters, COUNTER_PACKETS_NO_EVIDENCE, 1);
         return;
     }
-    if (held == NULL) {
-        held = g_new0(struct held, HELD_MAX);
+    if (held_packets == NULL) {
+        held_packets = g_new0(struct held_packet, HELD_MAX);
     }
     if (held_count == HELD_MAX) {
         drop_expired(node);
@@ -222,50 +218,50 @@
         return;
     }
     counter_add(&node->counters, COUNTER_PACKETS_HELD, 1);
-    place = &held[held_count++];
-    place->until = until;
-    place->length = length;
-    /* A packet that is held again may lie at its own place. */
-    memmove(place->bytes + PLATFORM_PREFIX_BYTES,
-            bytes + PLATFORM_PREFIX_BYTES, length);
+    slot = &held_packets[held_count++];
+    slot->expires_at = expires_at;
+    slot->length = length;
+    /* On a retry the packet may already be in this slot. */
+    memmove(slot->bytes + PLATFORM_PREFIX_BYTES, bytes + PLATFORM_PREFIX_BYTES,
+            length);
 }
 
-/* Names a packet among those of its flow: copies have the same name. Those
- * without data have none, since each tells something new. */
+/* Identifies a packet within its flow, so that egress.h can drop a
+ * retransmission whose original is still queued. 0 for a pure acknowledgement,
+ * since each carries new information. */
 static uint64_t
-content_of(const struct evidence_packet *packet,
-           const struct evidence_verdict *verdict)
+content_key(const struct evidence_packet *packet,
+            const struct evidence_verdict *verdict)
 {
-    uint64_t place = packet->first
-                         ? UINT64_MAX
-                         : (uint64_t)packet->sequence << 32 | packet->length;
+    uint64_t position =
+        packet->first ? UINT64_MAX
+                      : (uint64_t)packet->sequence << 32 | packet->length;
 
     return packet->first || packet->length > 0
-               ? hash_pair(HASH_FLOW, verdict->flow, place)
+               ? hash_pair(HASH_FLOW, verdict->flow, position)
                : 0;
 }
 
-/* Says whether a packet may leave for its upstream at once. */
+/* True when the link is free; otherwise the packet was queued or dropped. */
 static bool
-may_forward(struct node *node, const struct evidence_packet *packet,
-            const struct evidence_verdict *verdict, const uint8_t *bytes,
-            size_t length)
+admit_packet(struct node *node, const struct evidence_packet *packet,
+             const struct evidence_verdict *verdict, const uint8_t *bytes,
+             size_t length)
 {
     struct egress_head head = {.kind = EGRESS_CALLER,
                                .flow = verdict->flow,
-                               .content_hash = content_of(packet, verdict),
+                               .content_hash = content_key(packet, verdict),
                                .sequence = packet->sequence,
                                .address = verdict->upstream->address,
                                .port = verdict->upstream->port};
 
-    /* Its copy may have opened the flow elsewhere by then. */
+    /* A copy may have opened the flow at another node by then. */
     head.deadline_us = packet->first ? loop_now_us() + STALE_MS * 1000 : 0;
 
-    return node_may_send(node, &head, bytes, PLATFORM_PREFIX_BYTES + length,
-                         NULL, 0);
+    return node_egress_admit(node, &head, bytes,
+                             PLATFORM_PREFIX_BYTES + length, NULL, 0);
 }
 
-/* Resets a flow towards its caller. */
 static void
 send_reset(struct node *node, const struct evidence_packet *packet,
            uint64_t flow)
@@ -281,11 +277,11 @@
     node_send(node, &head, reset, sizeof(reset), NULL, 0);
 }
 
-/* Steers one packet, which lies behind its prefix; `again` says that it was
+/* Handles one packet, which follows its prefix in `bytes`. `is_retry`: it was
  * held before. */
 static void
-take_packet(struct node *node, uint64_t now, uint8_t *bytes, size_t length,
-            bool again)
+steer_packet(struct node *node, uint64_t now, uint8_t *bytes, size_t length,
+             bool is_retry)
 {
     uint8_t *head = bytes + PLATFORM_PREFIX_BYTES;
     struct evidence_packet packet;
@@ -295,27 +291,27 @@
         counter_add(&node->counters, COUNTER_PACKETS_MALFORMED, 1);
         return;
     }
-    if (packet.first && node->stale && !fault_is(FAULT_NO_STALE)) {
+    if (packet.first && node->after_stall && !fault_is(FAULT_NO_STALE)) {
         counter_add(&node->counters, COUNTER_PACKETS_STALE, 1);
         return;
     }
     evidence_steer(&node->evidence, now, &packet, &verdict);
-    if (!again || verdict.action != EVIDENCE_HOLD) {
+    if (!is_retry || verdict.action != EVIDENCE_HOLD) {
         log_verdict(node, &packet, &verdict);
     }
     switch (verdict.action) {
     case EVIDENCE_FORWARD:
         platform_write_token(head, verdict.upstream->token);
         if (verdict.via_relay &&
-            node_carry(node, now, &verdict, head, length)) {
+            node_forward_via_relay(node, now, &verdict, head, length)) {
             break;
         }
         platform_write_prefix(bytes, verdict.upstream->id);
-        if (!may_forward(node, &packet, &verdict, bytes, length)) {
+        if (!admit_packet(node, &packet, &verdict, bytes, length)) {
             break;
         }
-        put_out(verdict.upstream->address, verdict.upstream->port, bytes,
-                PLATFORM_PREFIX_BYTES + length);
+        batch_add(verdict.upstream->address, verdict.upstream->port, bytes,
+                  PLATFORM_PREFIX_BYTES + length);
         break;
     case EVIDENCE_REFUSE:
         send_reset(node, &packet, verdict.flow);
@@ -333,90 +329,92 @@
     }
 }
 
-/* Takes one batch; returns how many packets it had. */
+/* Returns the number of packets read. */
 static int
-take_batch(struct node *node)
+receive_batch(struct node *node)
 {
-    uint64_t began;
+    uint64_t started_us;
     uint64_t now;
     int n;
 
-    for (unsigned i = 0; i < BATCH; i++) {
+    for (unsigned i = 0; i < BATCH_PACKETS; i++) {
         batch.in[i] = (struct iovec){.iov_base = batch.buffers[i] +
                                                  PLATFORM_PREFIX_BYTES,
                                      .iov_len = PACKET_MAX + 1};
         batch.received[i].msg_hdr =
             (struct msghdr){.msg_iov = &batch.in[i], .msg_iovlen = 1};
     }
-    n = recvmmsg(node->packets_fd, batch.received, BATCH, MSG_DONTWAIT, NULL);
-    began = loop_now_us();
-    now = began / 1000;
+    n = recvmmsg(node->packets_fd, batch.received, BATCH_PACKETS, MSG_DONTWAIT,
+                 NULL);
+    started_us = loop_now_us();
+    now = started_us / 1000;
     for (int i = 0; i < n; i++) {
-        take_packet(node, now, batch.buffers[i], batch.received[i].msg_len,
-                    false);
+        steer_packet(node, now, batch.buffers[i], batch.received[i].msg_len,
+                     false);
     }
-    send_out(node);
+    batch_send(node);
     if (n > 0) {
         histogram_add(&node->histograms, HISTOGRAM_PACKET,
-                      loop_now_us() - began);
+                      loop_now_us() - started_us);
     }
     return n;
 }
 
-/* Steers once more the packets that were held. */
 void
-node_release_packets(struct node *node)
+node_retry_held_packets(struct node *node)
 {
     unsigned count = held_count;
     uint64_t now = loop_now();
 
-    /* What must wait longer is held again, at or before its old place. */
+    /* Packets that must still wait move to the front of the array. */
     held_count = 0;
     for (unsigned i = 0; i < count; i++) {
-        uint64_t until = held[i].until;
+        uint64_t expires_at = held_packets[i].expires_at;
         unsigned before = held_count;
 
-        if (now >= until) {
+        if (now >= expires_at) {
             counter_add(&node->counters, COUNTER_PACKETS_NO_EVIDENCE, 1);
             continue;
         }
-        take_packet(node, now, held[i].bytes, held[i].length, true);
+        steer_packet(node, now, held_packets[i].bytes, held_packets[i].length,
+                     true);
         if (held_count > before) {
-            held[before].until = MIN(held[before].until, until);
+            held_packets[before].expires_at =
+                MIN(held_packets[before].expires_at, expires_at);
         }
-        send_out(node);
+        batch_send(node);
     }
 }
 
-/* Takes what the socket holds, in bounds. */
+/* Limits the batches, so that a flood of packets can't starve other events. */
 static void
 on_packets(void *data)
 {
     struct node *node = data;
 
-    for (int i = 0; i < BATCHES_A_TURN; i++) {
-        if (take_batch(node) < BATCH) {
+    for (int i = 0; i < BATCHES_PER_WAKEUP; i++) {
+        if (receive_batch(node) < BATCH_PACKETS) {
             break;
         }
     }
-    if (node->upstreams.suspicions->len > 0 || node_asks_halls(node) ||
+    if (node->upstreams.suspicions->len > 0 || node_hall_probe_due(node) ||
         fleet_resolve_due(&node->fleet) <= loop_now()) {
-        node_act(node);
+        node_run_actions(node);
     }
 }
 
-/* The process stood still: takes what waited meanwhile, without its first
- * packets. */
+/* Reads the packets that queued up while the process did not run, and drops
+ * the first packets among them. */
 static void
-on_late(void *data)
+on_stall(void *data)
 {
     struct node *node = data;
     uint64_t before = node->counters.value[COUNTER_PACKETS_STALE];
 
-    node->stale = true;
-    while (take_batch(node) == BATCH) {
+    node->after_stall = true;
+    while (receive_batch(node) == BATCH_PACKETS) {
     }
-    node->stale = false;
+    node->after_stall = false;
     counter_add(&node->counters, COUNTER_WAKEUPS_LATE, 1);
     log_event(
         LOG_WARN, "woke-late", "first_packets_dropped=%llu",
@@ -424,7 +422,6 @@
                              before));
 }
 
-/* Opens the socket for packets. */
 enum status_kind
 node_open_packets(struct node *node, struct status *st)
 {
@@ -437,10 +434,11 @@
     node->packets_fd = socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0);
     if (node->packets_fd < 0 ||
         bind(node->packets_fd, (struct sockaddr *)&at, sizeof(at)) != 0) {
-        return status_set(st, STATUS_IO,
-                          "cannot bind the port of packets %u: %s; free the "
-                          "port or set another",
-                          own->port, g_strerror(errno));
+        return status_set(
+            st, STATUS_IO,
+            "cannot bind UDP port %u of \"packets\": %s; free the "
+            "port or set another",
+            own->port, g_strerror(errno));
     }
     if (setsockopt(node->packets_fd, SOL_SOCKET, SO_RCVBUF, &size,
                    sizeof(size)) != 0) {
@@ -448,6 +446,6 @@
                   size, g_strerror(errno));
     }
     loop_watch(node->packets_fd, on_packets, node);
-    loop_on_stall(on_late, node, STALE_MS);
+    loop_on_stall(on_stall, node, STALE_MS);
     return STATUS_OK;
 }
--- a/node-peers.c
+++ b/node-peers.c
@@ -1,7 +1,7 @@
 /*
- * Messages between nodes: XDR in UDP datagrams, with a checksum before it.
- * No message needs to arrive: each is sent again by its own rule. One that no
- * datagram holds goes in parts.
+ * Messages between nodes: XDR (RFC 4506) in UDP datagrams, each after an
+ * 8-byte checksum. Delivery is best effort, and the sender of a message
+ * retries as its protocol requires. Larger messages are sent in fragments.
  */
 #include <arpa/inet.h>
 #include <errno.h>
@@ -15,14 +15,14 @@
 #include "loop.h"
 #include "node.h"
 
-#define DATAGRAMS_A_TURN 16 /* then callers' packets have their turn */
-/* So many answers, of 6.5 KB each at most, are sent before more is taken: they
- * are kept in memory until then. */
-#define ACTIONS_AT_ONCE 64
-/* Bytes of a message that is too small to be a copy of much. */
-#define PROMPT_BYTES 1200U
+#define DATAGRAMS_PER_WAKEUP 16 /* then callers' packets are handled */
+/* Pending messages are sent at this number, to limit the memory that they use.
+ */
+#define ACTIONS_PENDING_MAX 64
+/* A message up to this size has priority over bulk transfers. */
+#define PROMPT_MAX_BYTES 1200U
 
-/* Says whether a message is for the voter. */
+/* True for messages of the consensus protocol. */
 static bool
 is_for_voter(uint32_t kind)
 {
@@ -31,7 +31,7 @@
            kind == WIRE_SNAPSHOT;
 }
 
-/* Counts bytes by what they are for, so that a full link can be explained. */
+/* Counts sent bytes by purpose. */
 static void
 count_bytes(struct node *node, uint32_t kind, size_t length)
 {
@@ -51,12 +51,12 @@
     counter_add(&node->counters, COUNTER_CONTROL_BYTES_OUT, length);
 }
 
-/* What a message is for. A small one may be what packets wait for, and holds
- * nothing up. */
+/* Packets on hold may depend on a small message, and it occupies the link only
+ * briefly, so it gets priority. */
 static enum egress_kind
 egress_kind_of(uint32_t kind, size_t length)
 {
-    if (length <= PROMPT_BYTES) {
+    if (length <= PROMPT_MAX_BYTES) {
         return EGRESS_PROMPT;
     }
     return kind == WIRE_TABLE || kind == WIRE_UPSTREAMS || kind == WIRE_MEMBERS
@@ -64,7 +64,6 @@
                : EGRESS_PROMPT;
 }
 
-/* Sends one datagram: a checksum, then a message. */
 static void
 send_datagram(struct node *node, uint32_t to, uint32_t kind,
               const guint8 *bytes, size_t length)
@@ -72,43 +71,42 @@
     struct egress_head head = {.kind = egress_kind_of(kind, length),
                                .address = to,
                                .port = (uint16_t)node->settings.peer_port};
-    uint64_t sum = hash_checksum(bytes, length);
+    uint64_t checksum = hash_checksum(bytes, length);
 
     if (is_for_voter(kind)) {
-        node_send_now(node, &head, (const uint8_t *)&sum, sizeof(sum), bytes,
-                      length);
+        node_send_now(node, &head, (const uint8_t *)&checksum,
+                      sizeof(checksum), bytes, length);
     }
     else {
-        node_send(node, &head, (const uint8_t *)&sum, sizeof(sum), bytes,
-                  length);
+        node_send(node, &head, (const uint8_t *)&checksum, sizeof(checksum),
+                  bytes, length);
     }
 }
 
-/* Sends a message that no datagram holds. */
 static void
-send_parts(struct node *node, uint32_t to, const guint8 *bytes, size_t length)
+send_fragments(struct node *node, uint32_t to, const guint8 *bytes,
+               size_t length)
 {
     uint32_t kind = codec_kind(bytes, length);
-    GPtrArray *parts;
-    uint64_t number;
+    GPtrArray *fragments;
+    uint64_t message_id;
 
-    randombytes_buf(&number, sizeof(number));
-    parts = fragment_split(number, bytes, length);
-    if (parts == NULL) {
+    randombytes_buf(&message_id, sizeof(message_id));
+    fragments = fragment_split(message_id, bytes, length);
+    if (fragments == NULL) {
         counter_add(&node->counters, COUNTER_MSGS_TOO_LARGE, 1);
         log_event(LOG_ERROR, "message-too-large", "to=%08x kind=%u bytes=%zu",
                   to, kind, length);
         return;
     }
-    for (guint i = 0; i < parts->len; i++) {
-        const GByteArray *part = g_ptr_array_index(parts, i);
+    for (guint i = 0; i < fragments->len; i++) {
+        const GByteArray *fragment = g_ptr_array_index(fragments, i);
 
-        send_datagram(node, to, kind, part->data, part->len);
+        send_datagram(node, to, kind, fragment->data, fragment->len);
     }
-    g_ptr_array_unref(parts);
+    g_ptr_array_unref(fragments);
 }
 
-/* Sends an encoded message. Safe from the voter's thread. */
 void
 node_send_to_peer(struct node *node, uint32_t to, const guint8 *bytes,
                   size_t length)
@@ -117,36 +115,37 @@
 
     count_bytes(node, kind, length);
     if (length > FRAGMENT_UNSPLIT_MAX) {
-        send_parts(node, to, bytes, length);
+        send_fragments(node, to, bytes, length);
     }
     else {
         send_datagram(node, to, kind, bytes, length);
     }
 }
 
-static void take_message(struct node *node, const guint8 *bytes,
-                         size_t length);
+static void receive_message(struct node *node, const guint8 *bytes,
+                            size_t length);
 
-/* Takes a part of a message, and the message once it is whole. A part in a
- * part is nobody's. */
+/* Passes a message on once its last fragment arrived. Nested fragments are
+ * discarded. */
 static void
-take_part(struct node *node, const wire_part *part)
+receive_fragment(struct node *node, const wire_part *fragment)
 {
-    GByteArray *whole = fragment_receive(&node->parts, loop_now(), part);
+    GByteArray *assembled =
+        fragment_receive(&node->fragments, loop_now(), fragment);
 
-    if (whole == NULL) {
+    if (assembled == NULL) {
         return;
     }
-    if (codec_kind(whole->data, whole->len) != WIRE_PART) {
-        take_message(node, whole->data, whole->len);
+    if (codec_kind(assembled->data, assembled->len) != WIRE_PART) {
+        receive_message(node, assembled->data, assembled->len);
     }
-    g_byte_array_unref(whole);
+    g_byte_array_unref(assembled);
 }
 
-/* The answer to a hello proves that packets go to its sender's hall and back.
+/* A hello reply proves that packets reach the sender's data hall and return.
  */
 static void
-hear_hall(struct node *node, const wire_msg *msg)
+note_hall_reachable(struct node *node, const wire_msg *msg)
 {
     const wire_hello *hello = &msg->wire_msg_u.hello;
 
@@ -156,9 +155,8 @@
     }
 }
 
-/* Takes one message. */
 static void
-take_message(struct node *node, const guint8 *bytes, size_t length)
+receive_message(struct node *node, const guint8 *bytes, size_t length)
 {
     wire_msg msg;
 
@@ -167,10 +165,10 @@
         return;
     }
     if (msg.kind == WIRE_PART) {
-        take_part(node, &msg.wire_msg_u.part);
+        receive_fragment(node, &msg.wire_msg_u.part);
     }
     else if (msg.kind == WIRE_CARRY) {
-        node_take_carried(node, &msg.wire_msg_u.carry);
+        node_deliver_forwarded(node, &msg.wire_msg_u.carry);
     }
     else if (is_for_voter(msg.kind)) {
         GByteArray *copy = g_byte_array_sized_new((guint)length);
@@ -179,56 +177,54 @@
         node_voter_receive(node, copy);
     }
     else {
-        hear_hall(node, &msg);
+        note_hall_reachable(node, &msg);
         fleet_receive(&node->fleet, loop_now(), &msg);
     }
     codec_free(&msg);
 }
 
-/* Takes one datagram: a checksum, then a message. */
 static void
-take_datagram(struct node *node, const guint8 *bytes, size_t length)
+receive_datagram(struct node *node, const guint8 *bytes, size_t length)
 {
-    uint64_t sum;
-    const guint8 *message = bytes + sizeof(sum);
+    uint64_t checksum;
+    const guint8 *message = bytes + sizeof(checksum);
 
     counter_add(&node->counters, COUNTER_MSGS_IN, 1);
     counter_add(&node->counters, COUNTER_CONTROL_BYTES_IN, length);
-    if (length <= sizeof(sum)) {
+    if (length <= sizeof(checksum)) {
         counter_add(&node->counters, COUNTER_MSGS_MALFORMED, 1);
         return;
     }
-    memcpy(&sum, bytes, sizeof(sum));
-    length -= sizeof(sum);
-    if (sum != hash_checksum(message, length)) {
+    memcpy(&checksum, bytes, sizeof(checksum));
+    length -= sizeof(checksum);
+    if (checksum != hash_checksum(message, length)) {
         counter_add(&node->counters, COUNTER_MSGS_FORGED, 1);
         return;
     }
-    take_message(node, message, length);
+    receive_message(node, message, length);
 }
 
-/* Takes what the socket holds, in bounds. */
+/* Limits the datagrams, so that messages can't starve other events. */
 static void
 on_datagrams(void *data)
 {
     static guint8 bytes[FRAGMENT_DATAGRAM_MAX];
     struct node *node = data;
 
-    for (int i = 0; i < DATAGRAMS_A_TURN; i++) {
+    for (int i = 0; i < DATAGRAMS_PER_WAKEUP; i++) {
         ssize_t n = recv(node->peers_fd, bytes, sizeof(bytes), MSG_DONTWAIT);
 
         if (n < 0) {
             break;
         }
-        take_datagram(node, bytes, (size_t)n);
-        if (node->fleet.actions->len >= ACTIONS_AT_ONCE) {
-            node_act(node);
+        receive_datagram(node, bytes, (size_t)n);
+        if (node->fleet.actions->len >= ACTIONS_PENDING_MAX) {
+            node_run_actions(node);
         }
     }
-    node_act(node);
+    node_run_actions(node);
 }
 
-/* Opens the socket between nodes. */
 enum status_kind
 node_open_peers(struct node *node, struct status *st)
 {
@@ -241,8 +237,8 @@
     if (node->peers_fd < 0 ||
         bind(node->peers_fd, (struct sockaddr *)&at, sizeof(at)) != 0) {
         return status_set(st, STATUS_IO,
-                          "cannot bind peer_port %u: %s; free the port or "
-                          "set another",
+                          "cannot bind UDP port %u of \"peer_port\": %s; free "
+                          "the port or set another",
                           (unsigned)node->settings.peer_port,
                           g_strerror(errno));
     }
--- a/node-settings.c
+++ b/node-settings.c
@@ -1,4 +1,4 @@
-/* The table of a node's settings. */
+/* Schema of a node's settings. */
 #include "node-settings.h"
 
 #include <glib.h>
@@ -49,13 +49,13 @@
     {.key = "advertise",
      .type = SCHEMA_IPV4,
      .offset = AT(advertise),
-     .help = "give the address that other nodes reach this one at, when it "
-             "is not that of \"packets\""},
+     .help = "give the address at which other nodes reach this one, if it "
+             "differs from \"packets\""},
     {.key = "ready",
      .type = SCHEMA_ENDPOINT,
      .required = true,
      .offset = AT(ready),
-     .help = "give the TCP address and port where the fabric asks"},
+     .help = "give the TCP address and port for the fabric's health checks"},
     {.key = "control",
      .type = SCHEMA_ENDPOINT,
      .required = true,
@@ -67,28 +67,27 @@
      .min = 1,
      .max = PORT_MAX,
      .offset = AT(peer_port),
-     .help = "give the UDP port between nodes, the same on all"},
+     .help = "give the UDP port for messages between nodes, the same on all"},
     {.key = "metrics_port",
      .type = SCHEMA_UINT,
      .max = PORT_MAX,
      .value = 0,
      .offset = AT(metrics_port),
-     .help = "give the TCP port of the counters, 0 for none"},
+     .help = "give the TCP port for metrics, 0 for none"},
     {.key = "first_start",
      .type = SCHEMA_UINT,
      .max = 1,
      .value = 0,
      .offset = AT(first_start),
-     .help = "give 1 only when the whole deployment starts for the first "
-             "time"},
+     .help = "give 1 only for the first start of the whole deployment"},
     {.key = "registration_interval_ms",
      .type = SCHEMA_UINT,
      .required = true,
      .min = 10,
      .max = 60000,
-     .offset = AT(interval_ms),
+     .offset = AT(registration_interval_ms),
      .unit = "ms",
-     .help = "give the time between registrations of an upstream"},
+     .help = "give the interval of an upstream's registrations"},
     {.key = "grace_s",
      .type = SCHEMA_SECONDS,
      .min = 0,
@@ -96,7 +95,7 @@
      .value = 6000,
      .offset = AT(grace_ms),
      .unit = "s",
-     .help = "give the time within which a stop must be done"},
+     .help = "give the time within which a planned stop must complete"},
     {.key = "flow_max_s",
      .type = SCHEMA_SECONDS,
      .min = 1000,
@@ -104,8 +103,8 @@
      .value = 60000,
      .offset = AT(flow_max_ms),
      .unit = "s",
-     .help = "give the time at rest after which a flow may be forgotten, "
-             "where the routing table sets none"},
+     .help =
+         "give the idle timeout of flows for routing tables that set none"},
     {.key = "link_mbps",
      .type = SCHEMA_RATE,
      .min = 0,
@@ -113,37 +112,38 @@
      .value = 0,
      .offset = AT(link_kbit_s),
      .unit = "Mbit/s",
-     .help = "give the rate of this VM's link, so that what the node sends "
-             "fits it; 0 where it is not known, then nothing waits for it"},
+     .help = "give the bandwidth of this VM's link, to which the node limits "
+             "what it sends; 0 if unknown, for no limit"},
     {.key = "cold_overshoot",
      .type = SCHEMA_DECIMAL,
      .min = 0,
      .max = 1000000,
      .value = 1000,
-     .offset = AT(cold_overshoot_milli),
-     .help = "give how many times the rate of new flows that a cold upstream "
-             "bears it may get, from all nodes together"},
+     .offset = AT(warmup_overshoot_milli),
+     .help = "give the factor by which all nodes together multiply the limit "
+             "on new flows to a warming upstream"},
     {.key = "cold_slack",
      .type = SCHEMA_DECIMAL,
      .min = 0,
      .max = 1000000000,
      .value = 0,
-     .offset = AT(cold_slack_milli),
+     .offset = AT(warmup_slack_milli),
      .unit = "flows/s",
-     .help = "give how many new flows more it may get in a second"},
+     .help = "give the rate of new flows added to the limit of a warming "
+             "upstream"},
     {.key = "log_level",
      .type = SCHEMA_WORD,
      .value = 1,
      .words = log_level_words,
      .offset = AT(log_level),
-     .help = "name the least severity that is logged"},
+     .help = "name the lowest severity to log"},
     {.key = "seeds",
      .type = SCHEMA_LIST,
      .min = 0,
      .max = 64,
      .offset = AT(seeds),
      .inner = &seed_schema,
-     .help = "list nodes to ask first; they may be wrong or gone"},
+     .help = "list nodes to contact first; some may be wrong or down"},
     {.key = NULL},
 };
 #undef AT
@@ -152,7 +152,6 @@
                                                 sizeof(struct node_settings),
                                             .fields = fields};
 
-/* Reads and checks a file. */
 enum status_kind
 node_settings_load(const char *path, struct node_settings *out,
                    struct status *st)
@@ -168,7 +167,6 @@
     return st->kind;
 }
 
-/* Address by which other nodes know this one. */
 uint32_t
 node_settings_address(const struct node_settings *settings)
 {
@@ -176,7 +174,6 @@
                                     : settings->packets.address;
 }
 
-/* Frees the list. */
 void
 node_settings_free(struct node_settings *settings)
 {
--- a/node-settings.h
+++ b/node-settings.h
@@ -1,8 +1,7 @@
 /**
  * @file node-settings.h
- * Settings of a node: an entry of a fleet that finds itself. JSON with
- * comments, checked whole; the platform writes it from a template. Owns the
- * table of keys and starts nothing.
+ * Settings of a node, read from a JSON file with comments and validated
+ * against a schema.
  */
 #ifndef RIDGERIDGE_NODE_SETTINGS_H
 #define RIDGERIDGE_NODE_SETTINGS_H
@@ -13,51 +12,53 @@
 #define NODE_NAME_MAX 63
 #define NODE_PATH_MAX 200
 
-/** A node to ask first. */
+/** A node to contact after the start. */
 struct node_seed {
-    struct schema_endpoint control; /**< its address for operators */
+    struct schema_endpoint control; /**< its "control" address */
 };
 
-/** All settings of a node. */
 struct node_settings {
-    char name[NODE_NAME_MAX + 1];   /**< in logs */
-    char hall[NODE_NAME_MAX + 1];   /**< data hall of this VM */
-    char data[NODE_PATH_MAX + 1];   /**< data folder; empty: no disk */
-    struct schema_endpoint packets; /**< UDP: callers' packets */
-    uint32_t advertise;             /**< address that other nodes use for
-                                         this one; 0: that of `packets` */
-    struct schema_endpoint ready;   /**< HTTP: the fabric asks here */
-    struct schema_endpoint control; /**< HTTP: operators and upstreams */
-    uint64_t peer_port;             /**< UDP: between nodes */
-    uint64_t metrics_port;          /**< HTTP: counters; 0: none */
-    uint64_t first_start;           /**< 1: the deployment starts empty */
-    uint64_t interval_ms;           /**< between an upstream's registrations */
-    uint64_t grace_ms;              /**< a stop must be done within it */
-    uint64_t flow_max_ms;           /**< flows at rest so long may be
-                                         forgotten, where no table says */
-    uint64_t link_kbit_s;           /**< of this VM's link; 0: not known */
-    uint64_t cold_overshoot_milli;  /**< how far the rate that a cold upstream
-                                         bears may be passed, in thousandths of
-                                         it */
-    uint64_t cold_slack_milli;      /**< and beyond that, in thousandths of a
-                                         new flow a second */
-    int log_level;                  /**< enum log_level */
-    struct node_seed *seeds;        /**< whom to ask first */
-    size_t seed_count;              /**< of seeds */
+    char name[NODE_NAME_MAX + 1]; /**< of this VM, in logs */
+    char hall[NODE_NAME_MAX + 1]; /**< data hall of this VM */
+    char data[NODE_PATH_MAX +
+              1]; /**< data folder of the voter; empty: no disk */
+    struct schema_endpoint packets; /**< UDP socket for callers' packets */
+    uint32_t advertise; /**< address at which other nodes reach this one, 0:
+                           that of `packets` */
+    struct schema_endpoint
+        ready; /**< HTTP listener of the fabric's health check */
+    struct schema_endpoint
+        control;           /**< HTTP listener for operators and upstreams */
+    uint64_t peer_port;    /**< UDP port for messages between nodes */
+    uint64_t metrics_port; /**< HTTP port for metrics, 0: none */
+    uint64_t first_start;  /**< 1: first start of the whole deployment */
+    uint64_t registration_interval_ms; /**< interval of an upstream's
+                                          registrations */
+    uint64_t grace_ms;                 /**< time for a planned stop */
+    uint64_t
+        flow_max_ms; /**< idle timeout of flows, where the table sets none */
+    uint64_t link_kbit_s; /**< bandwidth of this VM's link, 0: unknown */
+    uint64_t warmup_overshoot_milli; /**< factor on the rate limit of a warming
+                                        upstream, in thousandths */
+    uint64_t warmup_slack_milli; /**< added to that limit, in thousandths of a
+                                    new flow per second */
+    int log_level;               /**< enum log_level */
+    struct node_seed *seeds;     /**< nodes to contact first */
+    size_t seed_count;
 };
 
-/** The table of keys, also for the reference page. */
+/** Also printed by `ridgeridge reference`. */
 extern const struct schema node_settings_schema;
 
-/** Reads and checks a file; free with node_settings_free(). */
+/** Reads and validates a file; free with node_settings_free(). */
 enum status_kind node_settings_load(const char *path,
                                     struct node_settings *out,
                                     struct status *st);
 
-/** Address by which other nodes know this one. */
+/** IPv4 address at which other nodes reach this one. */
 uint32_t node_settings_address(const struct node_settings *settings);
 
-/** Frees the list. */
+/** Frees the seeds. */
 void node_settings_free(struct node_settings *settings);
 
 #endif
--- a/node-status.c
+++ b/node-status.c
@@ -1,4 +1,4 @@
-/* A node's state and decisions as JSON. */
+/* State and recorded decisions of a node as JSON. */
 #include "node-status.h"
 
 #include "evidence-verify.h"
@@ -6,12 +6,11 @@
 #include "loop.h"
 #include "page.h"
 
-#define DECISIONS_MAX 64 /* of one flow, newest first */
+#define DECISIONS_MAX 64 /* per flow */
 
-/* Remembers a decision. */
 void
-node_record(struct node *node, const struct evidence_packet *packet,
-            const struct evidence_verdict *verdict)
+node_record_decision(struct node *node, const struct evidence_packet *packet,
+                     const struct evidence_verdict *verdict)
 {
     const struct upstream *u = verdict->upstream;
     struct ring_record record = {.at = loop_wall(),
@@ -36,9 +35,8 @@
     ring_add(&node->ring, &record);
 }
 
-/* One upstream. */
 static json_object *
-upstream_page(const struct node *node, const struct upstream *u, uint64_t now)
+upstream_json(const struct node *node, const struct upstream *u, uint64_t now)
 {
     json_object *doc = json_object_new_object();
 
@@ -62,10 +60,10 @@
     return doc;
 }
 
-/* The halls that are emptied: since which entry of the log, and since when by
- * the clock of the node that led then. */
+/* The drained data halls, with the index of the log entry and the leader's
+ * wall clock of each order. */
 static json_object *
-halls_page(const struct hall_set *halls)
+drained_halls_json(const struct hall_set *halls)
 {
     json_object *list = json_object_new_array();
 
@@ -80,7 +78,6 @@
     return list;
 }
 
-/* The state of the node. */
 json_object *
 node_status(struct node *node)
 {
@@ -92,7 +89,7 @@
     page_add_text(doc, "name", node->settings.name);
     page_add_text(doc, "hall", node->settings.hall);
     page_add_bool(doc, "ready", node_is_ready(node));
-    page_add_bool(doc, "stopping", node->unready_at != 0);
+    page_add_bool(doc, "stopping", node->stopping_since != 0);
     page_add_number(doc, "version", node->evidence.table->version);
     page_add_number(doc, "routes", node->evidence.table->routes->len);
     page_add_endpoint(doc, "leader", fleet->leader,
@@ -101,7 +98,7 @@
     page_add_bool(doc, "leads", fleet->leads_since != 0);
     page_add_number(doc, "members", g_hash_table_size(fleet->members) + 1);
     json_object_object_add(doc, "halls_emptied",
-                           halls_page(&node->upstreams.halls));
+                           drained_halls_json(&node->upstreams.halls));
     page_add_number(doc, "halls_revision", node->upstreams.halls.revision);
     page_add_number(doc, "halls_in_force_at",
                     fleet_count_halls_in_force(fleet));
@@ -115,16 +112,15 @@
     for (guint i = 0; i < node->upstreams.all->len; i++) {
         json_object_array_add(
             upstreams,
-            upstream_page(node, g_ptr_array_index(node->upstreams.all, i),
+            upstream_json(node, g_ptr_array_index(node->upstreams.all, i),
                           now));
     }
     json_object_object_add(doc, "upstreams", upstreams);
     return doc;
 }
 
-/* One decision. */
 static json_object *
-decision_page(const struct node *node, const struct ring_record *record)
+decision_json(const struct node *node, const struct ring_record *record)
 {
     enum ring_rule rule = (enum ring_rule)record->rule;
     json_object *doc = json_object_new_object();
@@ -149,7 +145,6 @@
     return doc;
 }
 
-/* The decisions about a flow. */
 json_object *
 node_explain(const struct node *node, uint64_t flow)
 {
@@ -161,7 +156,7 @@
     page_add_hex(doc, "flow", flow);
     page_add_number(doc, "kept_since", ring_overwritten_before(&node->ring));
     for (size_t i = 0; i < count; i++) {
-        json_object_array_add(list, decision_page(node, &found[i]));
+        json_object_array_add(list, decision_json(node, &found[i]));
     }
     json_object_object_add(doc, "decisions", list);
     return doc;
--- a/node-voter-thread.c
+++ b/node-voter-thread.c
@@ -1,9 +1,7 @@
 /*
- * The voter's thread: owns consensus and storage, so that a slow disk holds up
- * no packet. Of a node it uses settings, counters, histograms and the socket
- * to peers; all else it is told by jobs, and tells by news. When the disk
- * refuses, it answers all who wait, lets go of everything and opens the folder
- * again.
+ * The voter's thread: runs consensus (replica.h) and its storage (store.h). On
+ * a storage error it fails all pending requests, closes the data folder and
+ * opens it again later.
  */
 #include <inttypes.h>
 #include <sodium.h>
@@ -16,56 +14,54 @@
 #include "node-voter.h"
 #include "store.h"
 
-#define REOPEN_MS 300U        /* a refusing disk is tried again so often */
-#define KEPT_FILE "upstreams" /* in the data folder: the inventory */
-#define IDLE_MS 1000U         /* longest sleep of the thread */
+#define REOPEN_INTERVAL_MS 300U    /* delay after a storage error */
+#define INVENTORY_FILE "upstreams" /* in the data folder */
+#define IDLE_MAX_MS 1000U          /* longest wait for a job */
 
-/* The thread's state. */
 static struct {
     struct node *node;
     GAsyncQueue *jobs;
-    bool open; /* order and store are in use */
+    bool open; /* `replica` and `store` are open */
     struct replica replica;
     struct store store;
-    uint64_t reopen_at;    /* deadline: open the folder again */
-    uint64_t told_term;    /* of the last leader told */
-    uint32_t told_leader;  /* last leader told */
-    uint64_t logged_index; /* of the last list of voters logged */
-    bool stop;             /* JOB_STOP was done */
+    uint64_t reopen_at;           /* deadline */
+    uint64_t notified_term;       /* of the last update about the leader */
+    uint32_t notified_leader;     /* IPv4 address in that update */
+    uint64_t logged_config_index; /* of the last voters logged */
+    bool stop;                    /* VOTER_JOB_STOP was received */
 } voter;
 
-/* Makes empty news. */
-static struct voter_news *
-new_news(void)
+static struct voter_update *
+new_update(void)
 {
-    struct voter_news *news = g_new0(struct voter_news, 1);
+    struct voter_update *update = g_new0(struct voter_update, 1);
 
-    news->node = voter.node;
-    return news;
+    update->node = voter.node;
+    return update;
 }
 
-/* Copies the table held into news. */
+/* Copies the last committed table into an update. */
 static void
-copy_table(struct voter_news *news)
+copy_table(struct voter_update *update)
 {
-    const struct replica *order = &voter.replica;
+    const struct replica *replica = &voter.replica;
     gsize length = 0;
     const void *bytes;
     wire_command command;
 
-    if (order->routes == NULL) {
+    if (replica->routes == NULL) {
         return;
     }
-    bytes = g_bytes_get_data(order->routes, &length);
+    bytes = g_bytes_get_data(replica->routes, &length);
     if (codec_decode_command(bytes, length, &command)) {
-        news->routes = command.wire_command_u.routes;
-        news->routes.packed.packed_val = g_memdup2(
-            news->routes.packed.packed_val, news->routes.packed.packed_len);
+        update->routes = command.wire_command_u.routes;
+        update->routes.packed.packed_val =
+            g_memdup2(update->routes.packed.packed_val,
+                      update->routes.packed.packed_len);
         codec_free_command(&command);
     }
 }
 
-/* Sends a message to another voter. */
 static void
 send_message(struct cons_action *action)
 {
@@ -75,14 +71,14 @@
     g_byte_array_unref(bytes);
 }
 
-/* Carries out one action of consensus; false when the disk refused. */
+/* Executes a consensus action; false after a storage error. */
 static bool
-act_cons(struct cons_action *action)
+run_cons_action(struct cons_action *action)
 {
     const struct cons *cons = &voter.replica.cons;
     struct status st = {STATUS_OK, ""};
-    uint64_t before = loop_now_us();
-    uint64_t took_us;
+    uint64_t started_us = loop_now_us();
+    uint64_t elapsed_us;
 
     switch (action->kind) {
     case CONS_SAVE_TERM:
@@ -104,54 +100,53 @@
     case CONS_LOAD:
         return true;
     }
-    took_us = loop_now_us() - before;
-    histogram_add(&voter.node->histograms, HISTOGRAM_SYNC, took_us);
+    elapsed_us = loop_now_us() - started_us;
+    histogram_add(&voter.node->histograms, HISTOGRAM_SYNC, elapsed_us);
     if (st.kind != STATUS_OK) {
         counter_add(&voter.node->counters, COUNTER_STORE_ERRORS, 1);
         log_event(LOG_ERROR, "storage-failed",
-                  "took_us=%" PRIu64 " message=\"%s\"", took_us, st.message);
+                  "took_us=%" PRIu64 " message=\"%s\"", elapsed_us,
+                  st.message);
         return false;
     }
     return true;
 }
 
-/* Refuses an operator: the disk does not answer, or did not in time. */
 static void
-refuse(uint64_t token)
+reply_unavailable(uint64_t token)
 {
-    struct voter_news *news = new_news();
-
-    news->has_answer = true;
-    news->token = token;
-    (void)status_set(&news->status, STATUS_NO_ANSWER,
-                     "this node's disk does not answer; ask another node");
-    loop_post(voter_on_news, news);
+    struct voter_update *update = new_update();
+
+    update->has_reply = true;
+    update->token = token;
+    (void)status_set(&update->status, STATUS_NO_ANSWER,
+                     "this node's disk failed or timed out; send the request "
+                     "to another node");
+    loop_post(voter_on_update, update);
 }
 
-/* Refuses the operators whose answer was not given before the disk refused;
- * `from` is the first action that was not carried out. */
+/* Fails all requests that have no reply yet, after a storage error; `from` is
+ * the first action that was not executed. */
 static void
-refuse_waiting(size_t from)
+reply_unavailable_all(size_t from)
 {
     GArray *tokens = replica_unanswered_tokens(&voter.replica, from);
 
     for (guint i = 0; i < tokens->len; i++) {
-        refuse(g_array_index(tokens, uint64_t, i));
+        reply_unavailable(g_array_index(tokens, uint64_t, i));
     }
     g_array_free(tokens, TRUE);
 }
 
-/* Lets go of the folder, to open it again soon. */
 static void
-close_folder(void)
+close_storage(void)
 {
     replica_close(&voter.replica);
     store_close(&voter.store);
     voter.open = false;
-    voter.reopen_at = loop_now() + REOPEN_MS;
+    voter.reopen_at = loop_now() + REOPEN_INTERVAL_MS;
 }
 
-/* Names a role in the log. */
 static const char *
 role_name(enum cons_role role)
 {
@@ -166,42 +161,43 @@
     return "";
 }
 
-/* Tells the loop who leads, when that changed. */
+/* Notifies the loop of a change of leader or term. */
 static void
-tell_leader(void)
+notify_leader(void)
 {
     const struct cons *cons = &voter.replica.cons;
-    struct voter_news *news;
+    struct voter_update *update;
 
-    /* A new leader answers only when it knows all that was committed. */
+    /* A new leader serves requests only after it has committed an entry of
+     * its own term (Raft, section 8). */
     uint32_t leader =
         cons->role == CONS_LEADER && !cons_is_ready(cons) ? 0 : cons->leader;
 
-    if (cons->term == voter.told_term && leader == voter.told_leader) {
+    if (cons->term == voter.notified_term && leader == voter.notified_leader) {
         return;
     }
-    voter.told_term = cons->term;
-    voter.told_leader = leader;
+    voter.notified_term = cons->term;
+    voter.notified_leader = leader;
     log_event(LOG_INFO, "leader", "leader=%08x term=%" PRIu64 " role=%s",
               leader, cons->term, role_name(cons->role));
-    news = new_news();
-    news->has_leader = true;
-    news->term = cons->term;
-    news->leader = leader;
-    loop_post(voter_on_news, news);
+    update = new_update();
+    update->has_leader = true;
+    update->term = cons->term;
+    update->leader = leader;
+    loop_post(voter_on_update, update);
 }
 
-/* Logs who votes, when that changed. */
+/* Logs a change of the cluster's voters. */
 static void
 log_voters(void)
 {
     const wire_config *config = cons_config(&voter.replica.cons);
     GString *text;
 
-    if (voter.replica.cons.change_index == voter.logged_index) {
+    if (voter.replica.cons.change_index == voter.logged_config_index) {
         return;
     }
-    voter.logged_index = voter.replica.cons.change_index;
+    voter.logged_config_index = voter.replica.cons.change_index;
     text = g_string_new(NULL);
     for (u_int i = 0; i < config->voters.voters_len; i++) {
         const wire_voter *v = &config->voters.voters_val[i];
@@ -210,64 +206,64 @@
                                v->replica, (uint64_t)v->identity);
     }
     log_event(LOG_INFO, "voters", "index=%" PRIu64 " voters=%s",
-              voter.logged_index, text->str);
+              voter.logged_config_index, text->str);
     g_string_free(text, TRUE);
 }
 
-/* Carries out all actions; what the disk refused is not answered, and
- * nothing that follows it in the same batch is done. */
+/* Executes all actions in order. A storage error cancels the remaining ones,
+ * so nothing that was not synced is acknowledged. */
 static void
-act_all(void)
+run_actions(void)
 {
     size_t count;
     const struct replica_action *all = replica_actions(&voter.replica, &count);
 
     for (size_t i = 0; i < count; i++) {
         struct replica_action action = all[i];
-        struct voter_news *news;
+        struct voter_update *update;
 
         switch (action.kind) {
         case REPLICA_CONS:
-            if (!act_cons(&action.cons)) {
-                refuse_waiting(i);
-                close_folder();
+            if (!run_cons_action(&action.cons)) {
+                reply_unavailable_all(i);
+                close_storage();
                 return;
             }
             break;
         case REPLICA_REPLY:
-            news = new_news();
-            news->has_answer = true;
-            news->token = action.token;
-            news->status = action.status;
-            news->with_table = action.with_table;
+            update = new_update();
+            update->has_reply = true;
+            update->token = action.token;
+            update->status = action.status;
+            update->with_table = action.with_table;
             if (action.with_table) {
-                copy_table(news);
+                copy_table(update);
             }
-            loop_post(voter_on_news, news);
+            loop_post(voter_on_update, update);
             break;
         case REPLICA_APPLY:
-            news = new_news();
-            news->apply = true;
-            news->halls = voter.replica.halls;
-            copy_table(news);
-            loop_post(voter_on_news, news);
+            update = new_update();
+            update->committed = true;
+            update->halls = voter.replica.halls;
+            copy_table(update);
+            loop_post(voter_on_update, update);
             break;
         }
     }
     replica_clear(&voter.replica);
-    tell_leader();
+    notify_leader();
     log_voters();
 }
 
-/* Reads the inventory that was stored; NULL when there is none. */
+/* Reads the saved inventory; NULL when there is none or it is damaged. */
 static GByteArray *
-read_kept(void)
+read_inventory(void)
 {
     struct status st = {STATUS_OK, ""};
     GByteArray *bytes;
-    uint64_t sum;
+    uint64_t checksum;
 
-    if (store_read_file(voter.store.folder, KEPT_FILE, &bytes, &st) !=
+    if (store_read_file(voter.store.folder, INVENTORY_FILE, &bytes, &st) !=
         STATUS_OK) {
         log_event(LOG_WARN, "inventory-not-read", "message=\"%s\"",
                   st.message);
@@ -277,10 +273,10 @@
     if (bytes == NULL) {
         return NULL;
     }
-    if (bytes->len > sizeof(sum)) {
-        memcpy(&sum, bytes->data, sizeof(sum));
-        g_byte_array_remove_range(bytes, 0, sizeof(sum));
-        if (sum == hash_checksum(bytes->data, bytes->len)) {
+    if (bytes->len > sizeof(checksum)) {
+        memcpy(&checksum, bytes->data, sizeof(checksum));
+        g_byte_array_remove_range(bytes, 0, sizeof(checksum));
+        if (checksum == hash_checksum(bytes->data, bytes->len)) {
             return bytes;
         }
     }
@@ -289,19 +285,19 @@
     return NULL;
 }
 
-/* Stores the inventory. It is only a help, so a refusing disk is logged and
- * nothing more. */
+/* Saves the inventory with a checksum. An error is only logged: without the
+ * file the next start takes longer. */
 static void
-store_kept(const GByteArray *bytes)
+write_inventory(const GByteArray *bytes)
 {
-    uint64_t sum = hash_checksum(bytes->data, bytes->len);
+    uint64_t checksum = hash_checksum(bytes->data, bytes->len);
     GByteArray *file = g_byte_array_new();
     struct status st = {STATUS_OK, ""};
 
-    g_byte_array_append(file, (const guint8 *)&sum, sizeof(sum));
+    g_byte_array_append(file, (const guint8 *)&checksum, sizeof(checksum));
     g_byte_array_append(file, bytes->data, bytes->len);
-    if (store_write_file(voter.store.folder, KEPT_FILE, file->data, file->len,
-                         &st) != STATUS_OK) {
+    if (store_write_file(voter.store.folder, INVENTORY_FILE, file->data,
+                         file->len, &st) != STATUS_OK) {
         counter_add(&voter.node->counters, COUNTER_STORE_ERRORS, 1);
         log_event(LOG_WARN, "inventory-not-stored", "message=\"%s\"",
                   st.message);
@@ -309,40 +305,40 @@
     g_byte_array_unref(file);
 }
 
-/* Tells the loop what the folder holds. */
+/* Notifies the loop of the disk's identity, the voters and the inventory. */
 static void
-tell_opened(void)
+notify_opened(void)
 {
     const wire_config *config = cons_config(&voter.replica.cons);
-    struct voter_news *news = new_news();
+    struct voter_update *update = new_update();
 
-    news->opened = true;
-    news->identity = voter.store.identity;
-    news->kept = read_kept();
+    update->opened = true;
+    update->identity = voter.store.identity;
+    update->inventory = read_inventory();
     for (u_int i = 0; i < config->voters.voters_len; i++) {
-        news->voters[news->voter_count++] =
+        update->voters[update->voter_count++] =
             config->voters.voters_val[i].replica;
     }
-    loop_post(voter_on_news, news);
+    loop_post(voter_on_update, update);
 }
 
-/* Removes the state of a damaged folder. */
+/* Deletes the state of a damaged data folder. */
 static void
-give_up_folder(const char *path)
+wipe_storage(const char *path)
 {
     struct status st = {STATUS_OK, ""};
     enum status_kind kind = store_wipe(path, &st);
 
     log_event(LOG_ERROR, "storage-given-up",
-              "result=%s message=\"%s\" next=\"joins as a new identity\"",
+              "result=%s message=\"%s\" next=\"rejoins with a new identity\"",
               status_name(kind), st.message);
 }
 
-/* Opens the folder and starts consensus from it. A damaged folder is given
- * up: this replica then joins with a new identity and counts nowhere until
- * it holds the log. */
+/* Opens the data folder and starts consensus. A damaged folder is wiped; the
+ * replica then rejoins with a new identity and has no vote until it holds the
+ * log. */
 static void
-open_folder(void)
+open_storage(void)
 {
     const struct node_settings *s = &voter.node->settings;
     struct status st = {STATUS_OK, ""};
@@ -356,9 +352,9 @@
                   st.message);
         store_close(&voter.store);
         if (st.kind == STATUS_DAMAGED) {
-            give_up_folder(s->data);
+            wipe_storage(s->data);
         }
-        voter.reopen_at = loop_now() + REOPEN_MS;
+        voter.reopen_at = loop_now() + REOPEN_INTERVAL_MS;
         return;
     }
     randombytes_buf(&seed, sizeof(seed));
@@ -371,13 +367,13 @@
               " torn_bytes=%" PRIu64,
               voter.store.identity, cons_last_index(&voter.replica.cons),
               voter.replica.version, voter.store.cut_bytes);
-    tell_opened();
-    act_all();
+    notify_opened();
+    run_actions();
 }
 
-/* Becomes the founder, when nothing was stored here yet. */
+/* Starts a new cluster, unless the log has entries or a leader is known. */
 static void
-found(void)
+bootstrap(void)
 {
     struct status st = {STATUS_OK, ""};
     uint32_t self = node_settings_address(&voter.node->settings);
@@ -391,13 +387,12 @@
         return;
     }
     log_event(LOG_INFO, "founding", "replica=%08x", self);
-    close_folder();
-    open_folder();
+    close_storage();
+    open_storage();
 }
 
-/* Takes a message of another voter. */
 static void
-take_message(const GByteArray *bytes)
+receive_message(const GByteArray *bytes)
 {
     wire_msg msg;
 
@@ -410,17 +405,18 @@
     codec_free(&msg);
 }
 
-/* Passes an operator's call to consensus, or refuses it. */
+/* Passes an operator's request to consensus; fails it when storage is closed
+ * or the request waited too long. */
 static void
-take_call(struct voter_job *job, uint64_t now)
+handle_operator_job(struct voter_job *job, uint64_t now)
 {
     if (!voter.open || now > job->queued_at + REPLICA_REQUEST_TIMEOUT_MS) {
-        refuse(job->token);
+        reply_unavailable(job->token);
     }
-    else if (job->kind == VOTER_JOB_READ) {
+    else if (job->kind == VOTER_JOB_READ_TABLE) {
         replica_read(&voter.replica, now, job->token);
     }
-    else if (job->kind == VOTER_JOB_HALL) {
+    else if (job->kind == VOTER_JOB_SUBMIT_HALL) {
         replica_submit_hall(&voter.replica, now, job->token, &job->hall);
     }
     else {
@@ -428,16 +424,15 @@
     }
 }
 
-/* Does one job. */
 static void
-do_job(struct voter_job *job)
+run_job(struct voter_job *job)
 {
     uint64_t now = loop_now();
 
     switch (job->kind) {
     case VOTER_JOB_MESSAGE:
         if (voter.open) {
-            take_message(job->bytes);
+            receive_message(job->bytes);
         }
         break;
     case VOTER_JOB_DISK:
@@ -446,20 +441,20 @@
                                 job->disk.identity);
         }
         break;
-    case VOTER_JOB_FOUND:
-        found();
+    case VOTER_JOB_BOOTSTRAP:
+        bootstrap();
         break;
-    case VOTER_JOB_SUBMIT:
-    case VOTER_JOB_HALL:
-    case VOTER_JOB_READ:
-        take_call(job, now);
+    case VOTER_JOB_SUBMIT_TABLE:
+    case VOTER_JOB_SUBMIT_HALL:
+    case VOTER_JOB_READ_TABLE:
+        handle_operator_job(job, now);
         break;
-    case VOTER_JOB_KEEP:
+    case VOTER_JOB_SAVE_INVENTORY:
         if (voter.open) {
-            store_kept(job->bytes);
+            write_inventory(job->bytes);
         }
         break;
-    case VOTER_JOB_RESIGN:
+    case VOTER_JOB_STEP_DOWN:
         if (voter.open) {
             replica_step_down(&voter.replica, now);
         }
@@ -470,48 +465,47 @@
     }
 }
 
-/* Time until the thread has something to do, in us. */
+/* Time until the next deadline. */
 static uint64_t
-wait_us(void)
+timeout_us(void)
 {
     uint64_t now = loop_now();
     uint64_t at =
         voter.open ? replica_deadline(&voter.replica) : voter.reopen_at;
 
-    at = MIN(at, now + IDLE_MS);
+    at = MIN(at, now + IDLE_MAX_MS);
     return at > now ? (at - now) * 1000 : 0;
 }
 
-/* Runs the thread. */
 gpointer
 voter_run(gpointer data)
 {
-    const struct voter_start *start = data;
+    const struct voter_thread_args *thread_args = data;
 
-    voter.node = start->node;
-    voter.jobs = start->jobs;
-    open_folder();
+    voter.node = thread_args->node;
+    voter.jobs = thread_args->jobs;
+    open_storage();
     while (!voter.stop) {
-        uint64_t us = wait_us();
+        uint64_t us = timeout_us();
         struct voter_job *job = us > 0
                                     ? g_async_queue_timeout_pop(voter.jobs, us)
                                     : g_async_queue_try_pop(voter.jobs);
 
         if (job != NULL) {
-            do_job(job);
+            run_job(job);
             voter_free_job(job);
         }
         if (!voter.open && loop_now() >= voter.reopen_at) {
-            open_folder();
+            open_storage();
         }
         if (voter.open) {
             replica_tick(&voter.replica, loop_now());
-            act_all();
+            run_actions();
         }
     }
     if (voter.open) {
-        refuse_waiting(0);
-        close_folder();
+        reply_unavailable_all(0);
+        close_storage();
     }
     return NULL;
 }
--- a/node-voter.h
+++ b/node-voter.h
@@ -1,8 +1,7 @@
 /**
  * @file node-voter.h
- * What the two threads of a node with a disk say to each other: jobs that the
- * loop's thread queues for the voter, and news that the voter posts back. Only
- * node-voter.c (the loop's side) and node-voter-thread.c include it.
+ * Message queues between the loop's thread (node-voter.c) and the voter's
+ * thread (node-voter-thread.c): jobs in one direction, updates in the other.
  */
 #ifndef RIDGERIDGE_NODE_VOTER_H
 #define RIDGERIDGE_NODE_VOTER_H
@@ -10,64 +9,63 @@
 #include "node.h"
 #include "replica.h"
 
-/** What the loop asks of the voter. */
+/** Kinds of jobs from the loop to the voter. */
 enum voter_job_kind {
-    VOTER_JOB_MESSAGE, /* of another voter */
-    VOTER_JOB_DISK,    /* a disk is alive */
-    VOTER_JOB_FOUND,   /* found the quorum */
-    VOTER_JOB_SUBMIT,  /* an operator's table */
-    VOTER_JOB_HALL,    /* an operator's order about a hall */
-    VOTER_JOB_READ,    /* an operator's question */
-    VOTER_JOB_KEEP,    /* store the inventory */
-    VOTER_JOB_RESIGN,  /* give up leading */
-    VOTER_JOB_STOP     /* end the thread */
+    VOTER_JOB_MESSAGE,        /* consensus message of another voter */
+    VOTER_JOB_DISK,           /* the node of a disk is alive */
+    VOTER_JOB_BOOTSTRAP,      /* start a new cluster */
+    VOTER_JOB_SUBMIT_TABLE,   /* propose a table */
+    VOTER_JOB_SUBMIT_HALL,    /* propose an order about a data hall */
+    VOTER_JOB_READ_TABLE,     /* read the committed table */
+    VOTER_JOB_SAVE_INVENTORY, /* save the inventory */
+    VOTER_JOB_STEP_DOWN,      /* give up leadership */
+    VOTER_JOB_STOP            /* end the thread */
 };
 
-/** One job. */
 struct voter_job {
-    enum voter_job_kind kind; /* which of the following is set */
-    uint64_t queued_at;       /* time */
-    GByteArray *bytes;        /* MESSAGE, KEEP; owned */
+    enum voter_job_kind kind; /* selects the fields below */
+    uint64_t queued_at;       /* ms of loop_now() */
+    GByteArray *bytes;        /* MESSAGE, SAVE_INVENTORY; owned */
     wire_node disk;           /* DISK */
-    uint64_t token;           /* SUBMIT, HALL, READ */
-    wire_routes routes;       /* SUBMIT; packed is owned */
-    struct hall_order hall;   /* HALL */
+    uint64_t token; /* of the request: SUBMIT_TABLE, SUBMIT_HALL, READ_TABLE */
+    wire_routes routes;     /* SUBMIT_TABLE; packed is owned */
+    struct hall_order hall; /* SUBMIT_HALL */
 };
 
-/** What the voter tells the loop. */
-struct voter_news {
+/** An update from the voter to the loop; each flag selects fields. */
+struct voter_update {
     struct node *node;
-    bool opened;       /* the folder was opened: `identity` to `kept` */
-    uint64_t identity; /* of the disk */
-    uint32_t voters[CONS_REPLICAS_MAX]; /* their addresses */
-    u_int voter_count;                  /* of voters */
-    GByteArray *kept;                   /* the inventory stored, or NULL */
-    bool has_leader;                    /* `term` and `leader` are told */
-    uint64_t term;                      /* of the leader */
-    uint32_t leader;                    /* 0: none is known */
-    bool has_answer;                    /* `token` to `with_table` are told */
-    uint64_t token;                     /* of the call */
-    struct status status;               /* of the answer */
-    bool with_table;                    /* the answer carries `routes` */
-    bool apply;                         /* `routes`, `halls` were committed */
-    struct hall_set halls;              /* that are emptied */
-    wire_routes routes;                 /* packed is owned */
+    bool opened;                        /* sets `identity` to `inventory` */
+    uint64_t identity;                  /* of the disk */
+    uint32_t voters[CONS_REPLICAS_MAX]; /* IPv4 addresses */
+    u_int voter_count;
+    GByteArray *inventory; /* as saved, or NULL */
+    bool has_leader;       /* sets `term` and `leader` */
+    uint64_t term;
+    uint32_t leader;       /* IPv4 address, 0: none is known */
+    bool has_reply;        /* sets `token` to `with_table` */
+    uint64_t token;        /* of the request */
+    struct status status;  /* of the reply */
+    bool with_table;       /* the reply includes `routes` */
+    bool committed;        /* `halls` and `routes` were committed */
+    struct hall_set halls; /* drained data halls */
+    wire_routes routes;    /* packed is owned */
 };
 
-/** What the voter's thread is started with; both live as long as it runs. */
-struct voter_start {
-    struct node *node; /**< of its fields only settings, counters, histograms
-                            and peers_fd are used by the thread */
+/** Arguments of voter_run(), valid until it returns. */
+struct voter_thread_args {
+    struct node *node; /**< the thread uses only settings, counters, histograms
+                          and peers_fd */
     GAsyncQueue *jobs; /**< struct voter_job */
 };
 
-/** Runs the voter until VOTER_JOB_STOP; `data` is a struct voter_start. */
+/** Runs the voter until VOTER_JOB_STOP; `data` is a struct voter_thread_args.
+ */
 gpointer voter_run(gpointer data);
 
-/** Takes a struct voter_news on the loop's thread, and frees it. */
-void voter_on_news(void *data);
+/** Handles and frees a struct voter_update, on the loop's thread. */
+void voter_on_update(void *data);
 
-/** Frees a job. */
 void voter_free_job(struct voter_job *job);
 
 #endif
--- a/tests/test-table.c
+++ b/tests/test-table.c
@@ -361,9 +361,10 @@
                                        : "routes"[j % 6]);
         }
         g_test_message("%s", d->name);
-        g_assert_cmpint(node_pack(text, d->bytes, &packed, &st), ==, d->kind);
+        g_assert_cmpint(node_compress(text, d->bytes, &packed, &st), ==,
+                        d->kind);
         if (d->kind == STATUS_OK) {
-            back = node_unpack(&packed);
+            back = node_decompress(&packed);
             g_assert_cmpmem(back, packed.length, text, d->bytes);
             g_free(back);
             g_free(packed.packed.packed_val);
