--- a/control-core.c
+++ b/control-core.c
@@ -1,6 +1,7 @@
 /*
- * One control replica: applies what is committed, answers operators, and
- * hands entries' messages to control-entries.c.
+ * Applies committed commands, compacts the log, and completes operators'
+ * requests. Entries' messages go to control-entries.c, a leader's own
+ * proposals come from control-rollout.c.
  */
 #include "control-core.h"
 
@@ -11,9 +12,8 @@
 #include "fault.h"
 #include "control-internal.h"
 
-/* Adds an action. */
 static struct control_action *
-act(struct control_core *core, enum control_action_kind kind)
+add_action(struct control_core *core, enum control_action_kind kind)
 {
     struct control_action action = {.kind = kind};
 
@@ -22,12 +22,12 @@
                           core->actions->len - 1);
 }
 
-/* Moves the actions of consensus over, in order. */
+/* Appends the queued actions of cons.h to the queue, in order. */
 void
-control_take_cons(struct control_core *core)
+control_move_cons_actions(struct control_core *core)
 {
     for (guint i = 0; i < core->cons.actions->len; i++) {
-        struct control_action *action = act(core, CONTROL_CONS);
+        struct control_action *action = add_action(core, CONTROL_CONS);
 
         action->cons =
             g_array_index(core->cons.actions, struct cons_action, i);
@@ -35,71 +35,67 @@
     g_array_set_size(core->cons.actions, 0);
 }
 
-/* Adds a message to an entry. */
+/* Queues a message to an entry; the caller fills it. */
 wire_msg *
-control_send(struct control_core *core, const wire_member *member)
+control_add_send(struct control_core *core, const wire_member *member)
 {
-    struct control_action *action = act(core, CONTROL_SEND);
+    struct control_action *action = add_action(core, CONTROL_SEND);
 
     action->member = *member;
     return &action->msg;
 }
 
-/* Answers an operator. */
+/* Queues a reply, STATUS_OK unless the caller changes it. */
 static struct status *
-reply(struct control_core *core, uint64_t token)
+add_reply(struct control_core *core, uint64_t token)
 {
-    struct control_action *action = act(core, CONTROL_REPLY);
+    struct control_action *action = add_action(core, CONTROL_REPLY);
 
     action->token = token;
     action->status.kind = STATUS_OK;
     return &action->status;
 }
 
-/* Answers an operator at once with a kind and message. */
 static void
-refuse(struct control_core *core, uint64_t token, enum status_kind kind,
-       const char *message)
+reply_status(struct control_core *core, uint64_t token, enum status_kind kind,
+             const char *message)
 {
-    (void)status_set(reply(core, token), kind, "%s", message);
+    (void)status_set(add_reply(core, token), kind, "%s", message);
 }
 
-/* Answers that this replica does not lead. */
 static void
-refuse_leaderless(struct control_core *core, uint64_t token)
+reply_not_leader(struct control_core *core, uint64_t token)
 {
-    (void)status_set(reply(core, token), STATUS_NO_ANSWER,
-                     "replica %u does not lead (leader %u); ask another "
-                     "control VM",
+    (void)status_set(add_reply(core, token), STATUS_NO_ANSWER,
+                     "replica %u is not the leader (leader: %u, 0 if "
+                     "unknown); ask another control VM",
                      core->cons.self, core->cons.leader);
 }
 
-/* Starts a replica. */
 void
 control_core_open(struct control_core *core, uint64_t now, uint32_t self,
                   uint64_t identity, const uint32_t *replicas, size_t count,
-                  const wire_config *founders, uint64_t seed,
+                  const wire_config *bootstrap_voters, uint64_t seed,
                   struct cons_stored *stored, struct counters *counters)
 {
     memset(core, 0, sizeof(*core));
-    cons_open(&core->cons, now, self, identity, replicas, count, founders,
-              seed, stored);
+    cons_open(&core->cons, now, self, identity, replicas, count,
+              bootstrap_voters, seed, stored);
     core->entries = g_ptr_array_new();
-    core->waits = g_array_new(FALSE, FALSE, sizeof(struct control_wait));
+    core->requests = g_array_new(FALSE, FALSE, sizeof(struct control_request));
     core->actions = g_array_new(FALSE, FALSE, sizeof(struct control_action));
-    core->dropping = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+    core->evicting = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     core->counters = counters;
     control_state_open(&core->state);
     if (core->cons.snapshot.index > 0) {
         control_load_snapshot(core);
     }
-    /* What ended before this start ended at least now. */
+    /* Epochs that ended before the start count as ended just now. */
     for (size_t i = 0; i < WIRE_EPOCHS_MAX; i++) {
-        core->epoch_ended[i] = now;
+        core->epoch_ended_at[i] = now;
     }
 }
 
-/* Takes the state that a snapshot holds. */
 void
 control_load_snapshot(struct control_core *core)
 {
@@ -113,47 +109,46 @@
     }
 }
 
-/* Frees a replica. */
 void
 control_core_close(struct control_core *core)
 {
-    control_forget_entries(core);
+    control_clear_entries(core);
     control_core_clear(core);
     g_ptr_array_free(core->entries, TRUE);
-    g_array_free(core->waits, TRUE);
-    g_array_free(core->dropping, TRUE);
+    g_array_free(core->requests, TRUE);
+    g_array_free(core->evicting, TRUE);
     g_array_free(core->actions, TRUE);
     control_state_close(&core->state);
     cons_close(&core->cons);
 }
 
-/* Notes when the step in force was reached, for deadlines that follow it. */
+/* Records when the rollout step changed and announces it to the entries. */
 static void
-note_step(struct control_core *core, uint64_t now)
+update_step(struct control_core *core, uint64_t now)
 {
-    uint64_t seen = core->state.current * 8 + core->state.step;
+    uint64_t key = core->state.current * 8 + core->state.step;
 
-    if (core->state.signed_off && core->signed_at == 0) {
-        core->signed_at = now;
+    if (core->state.signed_off && core->signed_off_at == 0) {
+        core->signed_off_at = now;
     }
-    if (seen != core->step_seen) {
-        core->step_seen = seen;
-        core->step_at = now;
-        control_announce(core);
+    if (key != core->step_key) {
+        core->step_key = key;
+        core->step_reached_at = now;
+        control_announce_state(core);
     }
 }
 
-/* Notes when an epoch ended. [0] is the one in force. */
+/* Records that the previous epoch ended now; [0] is the current one. */
 static void
-note_epoch(struct control_core *core, uint64_t now)
+update_epoch_ends(struct control_core *core, uint64_t now)
 {
-    memmove(core->epoch_ended + 1, core->epoch_ended,
-            sizeof(core->epoch_ended) - sizeof(core->epoch_ended[0]));
-    core->epoch_ended[0] = now;
-    core->epoch_ended[1] = now;
+    memmove(core->epoch_ended_at + 1, core->epoch_ended_at,
+            sizeof(core->epoch_ended_at) - sizeof(core->epoch_ended_at[0]));
+    core->epoch_ended_at[0] = now;
+    core->epoch_ended_at[1] = now;
 }
 
-/* Applies one committed entry. */
+/* Applies one committed log entry; one that does not decode is skipped. */
 static void
 apply_entry(struct control_core *core, uint64_t now, uint64_t index)
 {
@@ -174,15 +169,14 @@
     codec_free_command(&command);
     if (control_state_epoch(&core->state) != NULL &&
         control_state_epoch(&core->state)->number != epoch) {
-        note_epoch(core, now);
-        control_announce(core);
+        update_epoch_ends(core, now);
+        control_announce_state(core);
     }
-    note_step(core, now);
+    update_step(core, now);
 }
 
-/* Says whether entries of the log wait to be stored. */
 static bool
-is_saving(const struct control_core *core)
+has_unsaved_entries(const struct control_core *core)
 {
     for (guint i = 0; i < core->actions->len; i++) {
         const struct control_action *action =
@@ -196,9 +190,8 @@
     return false;
 }
 
-/* Replaces a long log by a snapshot of the state, unless an entry waits to be
- * stored: it may be committed already, and the snapshot would take it out of
- * the log. */
+/* Compacts the log unless queued actions still have to save log entries: one
+ * that is already committed would leave the log before it is saved. */
 static void
 compact(struct control_core *core)
 {
@@ -206,7 +199,8 @@
     GByteArray *bytes;
     GBytes *state;
 
-    if (core->state.applied < first + CONTROL_COMPACT || is_saving(core)) {
+    if (core->state.applied < first + CONTROL_COMPACT_ENTRIES ||
+        has_unsaved_entries(core)) {
         return;
     }
     bytes = codec_encode_state(&core->state);
@@ -215,90 +209,91 @@
     g_bytes_unref(state);
 }
 
-/* Answers what an outcome of the state settles. */
 static void
-answer_submit(struct control_core *core, const struct control_wait *wait)
+reply_submit(struct control_core *core, const struct control_request *request)
 {
     const wire_submission *found =
-        control_state_find(&core->state, wait->submission);
-    struct status *st = reply(core, wait->token);
+        control_state_find_outcome(&core->state, request->submission);
+    struct status *st = add_reply(core, request->token);
 
     if (found == NULL) {
         (void)status_set(st, STATUS_UNCONFIRMED,
-                         "another leader took over; submit again with the "
-                         "same submission id");
+                         "a new leader took over before the submission was "
+                         "committed; retry with the same submission id");
         return;
     }
     (void)status_set(st, found->result, "%s", found->message);
 }
 
-/* Answers a sign-off. */
 static void
-answer_sign_off(struct control_core *core, const struct control_wait *wait)
+reply_sign_off(struct control_core *core,
+               const struct control_request *request)
 {
     const wire_control_state *state = &core->state;
-    bool done = state->current >= wait->version ||
+    bool done = state->current >= request->version ||
                 (state->has_pending && state->signed_off &&
-                 state->pending.bundle_version == wait->version);
-    struct status *st = reply(core, wait->token);
+                 state->pending.bundle_version == request->version);
+    struct status *st = add_reply(core, request->token);
 
     if (!done) {
         (void)status_set(st, STATUS_CONFLICT,
-                         "the accepted bundle changed meanwhile; look at it "
-                         "and sign that one off");
+                         "the pending bundle changed meanwhile; review it and "
+                         "sign off its version");
         return;
     }
-    (void)status_set(st, STATUS_OK, "signed off; the roll-out begins");
+    (void)status_set(st, STATUS_OK, "signed off; the rollout starts");
 }
 
-/* Says whether a wait is over, and answers it. */
+/* Replies once the request is committed or confirmed, or when it timed out or
+ * this replica lost its leadership; true if it replied. */
 static bool
-settle_wait(struct control_core *core, uint64_t now,
-            const struct control_wait *wait)
+finish_request(struct control_core *core, uint64_t now,
+               const struct control_request *request)
 {
     bool leads = core->cons.role == CONS_LEADER;
 
-    if (wait->kind == CONTROL_WAIT_READ) {
+    if (request->kind == CONTROL_REQUEST_READ) {
         if (fault_is(FAULT_READ_LOCAL) ||
-            (cons_is_ready(&core->cons) && core->cons.term == wait->term &&
-             core->cons.confirmed >= wait->round)) {
-            (void)reply(core, wait->token);
+            (cons_is_ready(&core->cons) && core->cons.term == request->term &&
+             core->cons.confirmed >= request->round)) {
+            (void)add_reply(core, request->token);
             return true;
         }
     }
-    else if (core->state.applied >= wait->index) {
-        switch (wait->kind) {
-        case CONTROL_WAIT_SUBMIT:
-            answer_submit(core, wait);
+    else if (core->state.applied >= request->index) {
+        switch (request->kind) {
+        case CONTROL_REQUEST_SUBMIT:
+            reply_submit(core, request);
             return true;
-        case CONTROL_WAIT_SIGN_OFF:
-            answer_sign_off(core, wait);
+        case CONTROL_REQUEST_SIGN_OFF:
+            reply_sign_off(core, request);
             return true;
-        case CONTROL_WAIT_VOTERS:
-        case CONTROL_WAIT_READ:
-            refuse(core, wait->token, STATUS_OK, "the voters are changed");
+        case CONTROL_REQUEST_VOTERS:
+        case CONTROL_REQUEST_READ:
+            reply_status(core, request->token, STATUS_OK, "voters changed");
             return true;
         }
     }
-    if (now >= wait->deadline || !leads || core->cons.term != wait->term) {
-        refuse(core, wait->token, STATUS_UNCONFIRMED,
-               "no quorum confirmed it in time; ask again, with the same "
-               "submission id if it was a submission");
+    if (now >= request->deadline || !leads ||
+        core->cons.term != request->term) {
+        reply_status(
+            core, request->token, STATUS_UNCONFIRMED,
+            "no quorum confirmed the request in time; retry, a submission "
+            "with the same submission id");
         return true;
     }
     return false;
 }
 
-/* Answers the waits that are over. */
 static void
-settle_waits(struct control_core *core, uint64_t now)
+finish_requests(struct control_core *core, uint64_t now)
 {
-    for (guint i = 0; i < core->waits->len;) {
-        struct control_wait wait =
-            g_array_index(core->waits, struct control_wait, i);
+    for (guint i = 0; i < core->requests->len;) {
+        struct control_request request =
+            g_array_index(core->requests, struct control_request, i);
 
-        if (settle_wait(core, now, &wait)) {
-            g_array_remove_index(core->waits, i);
+        if (finish_request(core, now, &request)) {
+            g_array_remove_index(core->requests, i);
         }
         else {
             i++;
@@ -306,24 +301,24 @@
     }
 }
 
-/* Does all that follows from a change of consensus. */
+/* Applies new commits, runs the leader and completes requests; called after
+ * every input. */
 static void
-settle(struct control_core *core, uint64_t now)
+update(struct control_core *core, uint64_t now)
 {
-    control_take_cons(core);
+    control_move_cons_actions(core);
     while (core->state.applied < core->cons.commit) {
         apply_entry(core, now, core->state.applied + 1);
     }
     compact(core);
-    control_take_cons(core);
+    control_move_cons_actions(core);
     if (core->cons.role == CONS_LEADER) {
-        control_lead(core, now);
-        control_take_cons(core);
+        control_run_leader(core, now);
+        control_move_cons_actions(core);
     }
-    settle_waits(core, now);
+    finish_requests(core, now);
 }
 
-/* Lets time pass. */
 void
 control_core_tick(struct control_core *core, uint64_t now)
 {
@@ -333,19 +328,18 @@
     if (!was_candidate && core->cons.role == CONS_CANDIDATE) {
         counter_add(core->counters, COUNTER_ELECTIONS, 1);
     }
-    settle(core, now);
+    update(core, now);
 }
 
-/* Takes a message. */
 void
 control_core_receive(struct control_core *core, uint64_t now,
                      const wire_msg *msg)
 {
     if (msg->kind == WIRE_REPORT) {
-        control_take_report(core, now, &msg->wire_msg_u.report);
+        control_handle_report(core, now, &msg->wire_msg_u.report);
     }
     else if (msg->kind == WIRE_FETCH) {
-        control_take_fetch(core, now, &msg->wire_msg_u.fetch);
+        control_handle_fetch(core, now, &msg->wire_msg_u.fetch);
     }
     else {
         cons_receive(&core->cons, now, msg);
@@ -354,119 +348,118 @@
                     .kind == CONS_LOAD) {
                 control_load_snapshot(core);
                 for (size_t j = 0; j < WIRE_EPOCHS_MAX; j++) {
-                    core->epoch_ended[j] = now;
+                    core->epoch_ended_at[j] = now;
                 }
             }
         }
     }
-    settle(core, now);
+    update(core, now);
 }
 
-/* Notes that an operator waits for an entry of the log. */
-static struct control_wait *
-wait_for(struct control_core *core, uint64_t now, uint64_t token,
-         enum control_wait_kind kind, uint64_t index)
+/* Adds a request that waits for the log entry `index`. */
+static struct control_request *
+add_request(struct control_core *core, uint64_t now, uint64_t token,
+            enum control_request_kind kind, uint64_t index)
 {
-    struct control_wait wait = {.kind = kind,
-                                .token = token,
-                                .index = index,
-                                .term = core->cons.term,
-                                .deadline = now + CONTROL_ANSWER_MS};
-
-    g_array_append_val(core->waits, wait);
-    return &g_array_index(core->waits, struct control_wait,
-                          core->waits->len - 1);
+    struct control_request request = {.kind = kind,
+                                      .token = token,
+                                      .index = index,
+                                      .term = core->cons.term,
+                                      .deadline =
+                                          now + CONTROL_REQUEST_TIMEOUT_MS};
+
+    g_array_append_val(core->requests, request);
+    return &g_array_index(core->requests, struct control_request,
+                          core->requests->len - 1);
 }
 
-/* Takes a submission. */
 void
 control_core_submit(struct control_core *core, uint64_t now, uint64_t token,
                     const wire_submit *submit)
 {
     wire_command command = {.kind = WIRE_CMD_BUNDLE,
                             .wire_command_u.submit = *submit};
-    struct control_wait *wait;
+    struct control_request *request;
     uint64_t index;
 
     command.wire_command_u.submit.wall = core->wall;
     index = cons_propose(&core->cons, now, &command);
     if (index == 0) {
-        refuse_leaderless(core, token);
+        reply_not_leader(core, token);
         return;
     }
-    wait = wait_for(core, now, token, CONTROL_WAIT_SUBMIT, index);
-    g_strlcpy(wait->submission, submit->submission, sizeof(wait->submission));
-    settle(core, now);
+    request = add_request(core, now, token, CONTROL_REQUEST_SUBMIT, index);
+    g_strlcpy(request->submission, submit->submission,
+              sizeof(request->submission));
+    update(core, now);
 }
 
-/* Takes a sign-off. */
 void
 control_core_sign_off(struct control_core *core, uint64_t now, uint64_t token,
                       const wire_sign_off *sign)
 {
     wire_command command = {.kind = WIRE_CMD_SIGN_OFF,
                             .wire_command_u.sign_off = *sign};
-    const wire_submit *held = &core->state.pending;
+    const wire_submit *pending = &core->state.pending;
     uint64_t index;
 
     if (core->cons.role != CONS_LEADER) {
-        refuse_leaderless(core, token);
+        reply_not_leader(core, token);
         return;
     }
     if (core->state.has_pending &&
-        strcmp(held->operator_name, sign->operator_name) == 0) {
-        refuse(core, token, STATUS_REFUSED,
-               "the submitter cannot sign off; ask another operator");
+        strcmp(pending->operator_name, sign->operator_name) == 0) {
+        reply_status(core, token, STATUS_REFUSED,
+                     "the submitter cannot sign off its own bundle; ask "
+                     "another operator");
         return;
     }
     index = cons_propose(&core->cons, now, &command);
-    wait_for(core, now, token, CONTROL_WAIT_SIGN_OFF, index)->version =
+    add_request(core, now, token, CONTROL_REQUEST_SIGN_OFF, index)->version =
         sign->bundle_version;
-    settle(core, now);
+    update(core, now);
 }
 
-/* Takes a question; it is answered once a quorum confirms the leader. */
 void
 control_core_read(struct control_core *core, uint64_t now, uint64_t token)
 {
-    struct control_wait *wait;
+    struct control_request *request;
 
     if (core->cons.role != CONS_LEADER) {
         if (fault_is(FAULT_READ_LOCAL)) {
-            (void)reply(core, token);
+            (void)add_reply(core, token);
             return;
         }
-        refuse_leaderless(core, token);
+        reply_not_leader(core, token);
         return;
     }
-    wait = wait_for(core, now, token, CONTROL_WAIT_READ, 0);
-    wait->round = cons_begin_round(&core->cons, now);
-    settle(core, now);
+    request = add_request(core, now, token, CONTROL_REQUEST_READ, 0);
+    request->round = cons_begin_round(&core->cons, now);
+    update(core, now);
 }
 
-/* Takes a change of voters by an operator. */
 void
-control_core_voters(struct control_core *core, uint64_t now, uint64_t token,
-                    uint32_t replica, uint64_t identity)
+control_core_change_voters(struct control_core *core, uint64_t now,
+                           uint64_t token, uint32_t replica, uint64_t identity)
 {
     uint64_t index;
 
     if (core->cons.role != CONS_LEADER) {
-        refuse_leaderless(core, token);
+        reply_not_leader(core, token);
         return;
     }
-    index = control_change_voters(core, now, replica, identity);
+    index = control_propose_voters(core, now, replica, identity);
     if (index == 0) {
-        refuse(core, token, STATUS_REFUSED,
-               "the voters cannot change now: another change is not yet "
-               "committed, or the replica has not caught up; try again");
+        reply_status(core, token, STATUS_REFUSED,
+                     "cannot change the voters: another change is not yet "
+                     "committed (retry later), or no voter or too many would "
+                     "remain");
         return;
     }
-    (void)wait_for(core, now, token, CONTROL_WAIT_VOTERS, index);
-    settle(core, now);
+    (void)add_request(core, now, token, CONTROL_REQUEST_VOTERS, index);
+    update(core, now);
 }
 
-/* Gives the actions. */
 const struct control_action *
 control_core_actions(struct control_core *core, size_t *count)
 {
@@ -474,7 +467,7 @@
     return (const struct control_action *)(void *)core->actions->data;
 }
 
-/* Forgets the actions. */
+/* Gives the actions of cons.h back to it, which frees what they own. */
 void
 control_core_clear(struct control_core *core)
 {
--- a/control-core.h
+++ b/control-core.h
@@ -1,9 +1,9 @@
 /**
  * @file control-core.h
- * One control replica without I/O: consensus, the state it builds, the
- * entries it hears, leases, epochs, roll-outs, and operators' requests that
- * wait for a commit or a quorum. Actions come back in the order in which
- * they must be carried out.
+ * One control replica without I/O: the replicated state machine on top of
+ * cons.h, leases and epochs (views) of the entries, staged bundle rollout,
+ * and operators' requests that wait for a commit or a quorum read. Every call
+ * queues actions, which the caller carries out in order.
  */
 #ifndef RIDGERIDGE_CONTROL_CORE_H
 #define RIDGERIDGE_CONTROL_CORE_H
@@ -13,133 +13,144 @@
 #include "counter.h"
 #include "status.h"
 
-#define CONTROL_LEASE_MS 3000U   /**< counted from when a report was sent */
-#define CONTROL_SUSPECT_MS 3500U /**< an unheard entry leaves the epoch */
-#define CONTROL_BEHIND_MS 5000U  /**< an entry that lags so long as well */
-#define CONTROL_LEARN_MS 30000U  /**< longest wait for records to be pushed */
-#define CONTROL_LINGER_MS                                                     \
-    8000U                       /**< after a loss, flows that only the lost   \
-                                     entry knew may still show themselves */
-#define CONTROL_ANSWER_MS 3000U /**< longest wait of an operator */
-#define CONTROL_COMPACT 256U    /**< entries of the log before a snapshot */
-
-/** What the shell must do. */
+#define CONTROL_LEASE_MS 3000U           /**< from when the report was sent */
+#define CONTROL_MEMBER_TIMEOUT_MS 3500U  /**< without a report: evicted */
+#define CONTROL_LAG_TIMEOUT_MS 5000U     /**< lagging this long: evicted */
+#define CONTROL_LEARN_TIMEOUT_MS 30000U  /**< longest wait for flow records */
+#define CONTROL_REQUEST_TIMEOUT_MS 3000U /**< of an operator's request */
+#define CONTROL_COMPACT_ENTRIES 256U     /**< log entries per snapshot */
+
+/** FLIP waits this long after an eviction: flows of which only the evicted
+ * entry had records may still send packets. */
+#define CONTROL_EVICTION_DELAY_MS 8000U
+
+/** Kinds of actions. */
 enum control_action_kind {
-    CONTROL_CONS, /**< an action of consensus */
+    CONTROL_CONS, /**< carry out an action of cons.h */
     CONTROL_SEND, /**< send `msg` to the entry `member` */
-    CONTROL_REPLY /**< answer the operator who holds `token` */
+    CONTROL_REPLY /**< reply to the operator's request `token` */
 };
 
 /** One action. */
 struct control_action {
-    enum control_action_kind kind; /**< which of the following is set */
+    enum control_action_kind kind; /**< selects the fields below */
     struct cons_action cons;       /**< CONS */
-    wire_member member;            /**< SEND: whom to; borrowed strings */
+    wire_member member;            /**< SEND: receiver; borrowed strings */
     wire_msg msg;                  /**< SEND; borrowed bytes */
-    uint64_t token;                /**< REPLY */
+    uint64_t token;                /**< REPLY: as the request gave it */
     struct status status;          /**< REPLY */
 };
 
-/** An entry that this replica hears as the leader. */
+/** LEADER: an entry that has reported in this term. */
 struct control_entry {
-    wire_member self;       /**< as it reported; owned strings */
-    uint64_t version;       /**< applied there */
-    uint32_t step;          /**< applied there */
-    uint64_t epoch;         /**< applied there */
-    bool gone;              /**< its planned stop is done */
-    uint64_t heard_at;      /**< when it last reported */
-    uint64_t behind_since;  /**< since when it lags, 0: it does not */
-    uint64_t lease_until;   /**< no lease of it lasts longer */
-    uint64_t waiting_sent;  /**< sent_at of a report not answered, 0: none */
-    uint64_t waiting_round; /**< round that must be confirmed first */
-    uint64_t waiting_at;    /**< when that report came */
+    wire_member self;            /**< as reported; owned strings */
+    uint64_t version;            /**< bundle applied by the entry */
+    uint32_t step;               /**< rollout step applied by the entry */
+    uint64_t epoch;              /**< epoch applied by the entry */
+    bool stopped;                /**< planned stop completed */
+    uint64_t last_seen_at;       /**< last report received */
+    uint64_t lagging_since;      /**< 0: not lagging */
+    uint64_t lease_until;        /**< end of its last lease */
+    uint64_t report_sent_at;     /**< of the report to answer, 0: none */
+    uint64_t report_round;       /**< a quorum must confirm this round first */
+    uint64_t report_received_at; /**< of the report to answer */
 };
 
-/** Kinds of operators' requests that wait. */
-enum control_wait_kind {
-    CONTROL_WAIT_SUBMIT,
-    CONTROL_WAIT_SIGN_OFF,
-    CONTROL_WAIT_READ,
-    CONTROL_WAIT_VOTERS
+/** Kinds of operators' requests. */
+enum control_request_kind {
+    CONTROL_REQUEST_SUBMIT,
+    CONTROL_REQUEST_SIGN_OFF,
+    CONTROL_REQUEST_READ,
+    CONTROL_REQUEST_VOTERS
 };
 
-/** One operator's request that waits. */
-struct control_wait {
-    enum control_wait_kind kind; /**< which */
-    uint64_t token;              /**< of the shell */
-    uint64_t index;              /**< entry to be committed */
-    uint64_t term;               /**< in which it was proposed */
-    uint64_t round;              /**< READ: round to be confirmed */
-    uint64_t deadline;           /**< answered as unconfirmed then */
-    uint64_t version;            /**< SIGN_OFF: which bundle */
-    char submission[64];         /**< SUBMIT: which one */
+/** An operator's request that waits for a commit or a quorum. */
+struct control_request {
+    enum control_request_kind kind; /**< selects the fields below */
+    uint64_t token;                 /**< returned in the reply */
+    uint64_t index;                 /**< log index to be committed */
+    uint64_t term;                  /**< in which it was proposed */
+    uint64_t round;                 /**< READ: round to be confirmed */
+    uint64_t deadline;              /**< STATUS_UNCONFIRMED from then on */
+    uint64_t version;               /**< SIGN_OFF: bundle version */
+    char submission[64];            /**< SUBMIT: submission id */
 };
 
-/** One control replica. */
+/** One control replica. Times are in ms of the caller's monotonic clock. */
 struct control_core {
-    struct cons cons;          /**< the log */
-    wire_control_state state;  /**< what it built */
+    struct cons cons;          /**< log and elections */
+    wire_control_state state;  /**< built from committed commands */
     GPtrArray *entries;        /**< struct control_entry */
-    GArray *waits;             /**< struct control_wait */
+    GArray *requests;          /**< struct control_request */
     GArray *actions;           /**< struct control_action */
-    struct counters *counters; /**< of the process */
-    uint64_t lead_term;        /**< term in which entries were cleared */
-    uint64_t step_at;          /**< when the step was reached here */
-    uint64_t departed_at;      /**< when an entry was last given up */
-    uint64_t step_seen;        /**< version * 8 + step of `step_at` */
-    uint64_t proposed;         /**< last STEP, EPOCH or CONFIG proposed */
-    uint64_t proposed_term;    /**< its term */
-    GArray *dropping;          /**< uint64_t: ids that the EPOCH proposed
-                                    last leaves out; no lease for them */
-    uint64_t epoch_ended[WIRE_EPOCHS_MAX]; /**< when, as seen here */
-    u_quad_t ended_ago[WIRE_EPOCHS_MAX];   /**< borrowed by messages */
-    uint64_t in_force_ms; /**< how long the last roll-out took */
-    uint64_t wall;        /**< ms since 1970, set before each call */
-    uint64_t signed_at;   /**< when its sign-off was applied here */
+    struct counters *counters; /**< borrowed */
+    uint64_t entries_term;     /**< term to which `entries` belongs */
+    uint64_t step_reached_at;  /**< change of `step_key`, or election */
+    uint64_t evicted_at;       /**< last eviction without a planned stop */
+    uint64_t step_key;         /**< bundle version * 8 + rollout step */
+    uint64_t proposed_index;   /**< last STEP or EPOCH proposed */
+    uint64_t proposed_term;    /**< term of `proposed_index` */
+    GArray *evicting;          /**< uint64_t: ids that the last proposed EPOCH
+                                    leaves out; they get no lease */
+    uint64_t epoch_ended_at[WIRE_EPOCHS_MAX]; /**< as in `state`; local time */
+    u_quad_t ended_ago_ms[WIRE_EPOCHS_MAX];   /**< borrowed by messages */
+    uint64_t in_force_ms;   /**< sign-off to in force, last rollout */
+    uint64_t wall;          /**< ms since 1970; the caller sets it */
+    uint64_t signed_off_at; /**< sign-off applied here, 0: none open */
 };
 
-/** Starts a replica; see cons_open(). Applies what a snapshot holds. */
+/**
+ * Starts a replica and applies its snapshot.
+ * @param bootstrap_voters voters of an empty log
+ * @param stored result of store_open(), or NULL; see cons_open()
+ */
 void control_core_open(struct control_core *core, uint64_t now, uint32_t self,
                        uint64_t identity, const uint32_t *replicas,
-                       size_t count, const wire_config *founders,
+                       size_t count, const wire_config *bootstrap_voters,
                        uint64_t seed, struct cons_stored *stored,
                        struct counters *counters);
 
 /** Frees a replica. */
 void control_core_close(struct control_core *core);
 
-/** Lets time pass. */
+/** Handles timeouts. */
 void control_core_tick(struct control_core *core, uint64_t now);
 
-/** Takes a message of a replica or an entry. */
+/** Handles a message from a replica or an entry. */
 void control_core_receive(struct control_core *core, uint64_t now,
                           const wire_msg *msg);
 
-/** An operator submits. The text was checked by the shell. */
+/** Proposes a bundle; the caller has validated its text. */
 void control_core_submit(struct control_core *core, uint64_t now,
                          uint64_t token, const wire_submit *submit);
 
-/** An operator signs off. The signature was checked by the shell. */
+/** Proposes a sign-off; the caller has verified its signature. */
 void control_core_sign_off(struct control_core *core, uint64_t now,
                            uint64_t token, const wire_sign_off *sign);
 
-/** An operator asks; STATUS_OK means that a quorum confirmed the state. */
+/** Linearizable read (Raft's ReadIndex): a reply with STATUS_OK means that a
+ * quorum confirmed this leader, so that the caller may read `state`. */
 void control_core_read(struct control_core *core, uint64_t now,
                        uint64_t token);
 
-/** An operator adds or removes a voter (identity 0 removes). */
-void control_core_voters(struct control_core *core, uint64_t now,
-                         uint64_t token, uint32_t replica, uint64_t identity);
+/** Proposes to add a voter, or with identity 0 to remove it. */
+void control_core_change_voters(struct control_core *core, uint64_t now,
+                                uint64_t token, uint32_t replica,
+                                uint64_t identity);
 
-/** Says whether all live entries confirmed the bundle; names the others. */
+/**
+ * Tells whether every member of the epoch applies the current bundle to new
+ * flows.
+ * @param missing receives the names of the other members, separated by commas
+ */
 bool control_core_in_force(const struct control_core *core, char *missing,
                            size_t size);
 
-/** Takes the actions. */
+/** Returns the queued actions, valid until the next call. */
 const struct control_action *control_core_actions(struct control_core *core,
                                                   size_t *count);
 
-/** Forgets the actions, after they were carried out. */
+/** Empties the queue after its actions are done. */
 void control_core_clear(struct control_core *core);
 
 #endif
--- a/control-entries.c
+++ b/control-entries.c
@@ -1,6 +1,6 @@
 /*
- * The entries as a leader hears them: reports, leases that a quorum confirms
- * first, and what entries fetch.
+ * The leader's view of the entries: their reports, leases granted after a
+ * quorum round, and replies to fetches of bundles and epochs.
  */
 #include <string.h>
 
@@ -8,7 +8,6 @@
 #include "claim.h"
 #include "control-internal.h"
 
-/* Finds an entry that reported. */
 struct control_entry *
 control_find_entry(const struct control_core *core, uint64_t id)
 {
@@ -22,9 +21,8 @@
     return NULL;
 }
 
-/* Forgets all entries, as a new leader must hear them itself. */
 void
-control_forget_entries(struct control_core *core)
+control_clear_entries(struct control_core *core)
 {
     for (guint i = 0; i < core->entries->len; i++) {
         struct control_entry *entry = g_ptr_array_index(core->entries, i);
@@ -36,7 +34,7 @@
     g_ptr_array_set_size(core->entries, 0);
 }
 
-/* Fills what every lease and notice says. */
+/* Fills the fields that leases and announcements share. */
 static void
 fill_lease(const struct control_core *core, wire_msg *msg)
 {
@@ -56,9 +54,9 @@
     }
 }
 
-/* Tells all entries that something changed, without a lease. */
+/* Announces version, step and epoch to all entries, without a lease. */
 void
-control_announce(struct control_core *core)
+control_announce_state(struct control_core *core)
 {
     if (core->cons.role != CONS_LEADER) {
         return;
@@ -66,11 +64,10 @@
     for (guint i = 0; i < core->entries->len; i++) {
         struct control_entry *entry = g_ptr_array_index(core->entries, i);
 
-        fill_lease(core, control_send(core, &entry->self));
+        fill_lease(core, control_add_send(core, &entry->self));
     }
 }
 
-/* Says whether an entry is a member of the epoch in force. */
 static bool
 is_member(const struct control_core *core, uint64_t id)
 {
@@ -84,25 +81,25 @@
     return false;
 }
 
-/* Says whether a proposed epoch, not yet committed, leaves an entry out. */
+/* True while a proposed, uncommitted epoch leaves the entry out. */
 static bool
-is_dropping(const struct control_core *core, uint64_t id)
+is_evicting(const struct control_core *core, uint64_t id)
 {
     if (core->proposed_term != core->cons.term ||
-        core->proposed <= core->state.applied) {
+        core->proposed_index <= core->state.applied) {
         return false;
     }
-    for (guint i = 0; i < core->dropping->len; i++) {
-        if (g_array_index(core->dropping, uint64_t, i) == id) {
+    for (guint i = 0; i < core->evicting->len; i++) {
+        if (g_array_index(core->evicting, uint64_t, i) == id) {
             return true;
         }
     }
     return false;
 }
 
-/* Says whether an entry has what is in force. */
+/* True if the entry lacks the current version, step or epoch. */
 static bool
-is_behind(const struct control_core *core, const struct control_entry *entry)
+is_lagging(const struct control_core *core, const struct control_entry *entry)
 {
     const wire_epoch *epoch = control_state_epoch(&core->state);
 
@@ -112,7 +109,8 @@
            (epoch != NULL && entry->epoch < epoch->number);
 }
 
-/* Answers the reports whose round a quorum has confirmed. */
+/* Replies to the reports whose round a quorum confirmed. An entry that is no
+ * member, is being evicted or lags too long gets no lease. */
 void
 control_grant_leases(struct control_core *core)
 {
@@ -120,30 +118,31 @@
         struct control_entry *entry = g_ptr_array_index(core->entries, i);
         wire_msg *msg;
 
-        if (entry->waiting_sent == 0 ||
-            core->cons.confirmed < entry->waiting_round) {
+        if (entry->report_sent_at == 0 ||
+            core->cons.confirmed < entry->report_round) {
             continue;
         }
-        msg = control_send(core, &entry->self);
+        msg = control_add_send(core, &entry->self);
         fill_lease(core, msg);
         if (is_member(core, entry->self.id) &&
-            !is_dropping(core, entry->self.id) &&
-            (entry->behind_since == 0 ||
-             entry->waiting_at < entry->behind_since + CONTROL_BEHIND_MS)) {
+            !is_evicting(core, entry->self.id) &&
+            (entry->lagging_since == 0 ||
+             entry->report_received_at <
+                 entry->lagging_since + CONTROL_LAG_TIMEOUT_MS)) {
             msg->wire_msg_u.lease.entry = entry->self.id;
-            msg->wire_msg_u.lease.sent_at = entry->waiting_sent;
+            msg->wire_msg_u.lease.sent_at = entry->report_sent_at;
             msg->wire_msg_u.lease.lease_ms = CONTROL_LEASE_MS;
-            entry->lease_until = entry->waiting_at + CONTROL_LEASE_MS;
+            entry->lease_until = entry->report_received_at + CONTROL_LEASE_MS;
         }
-        entry->waiting_sent = 0;
+        entry->report_sent_at = 0;
     }
 }
 
-/* Points an entry that asked a follower to the leader. */
+/* Names the leader to an entry that reported to a follower. */
 static void
 redirect(struct control_core *core, const wire_report *report)
 {
-    wire_msg *msg = control_send(core, &report->self);
+    wire_msg *msg = control_add_send(core, &report->self);
 
     msg->kind = WIRE_LEASE;
     msg->wire_msg_u.lease.term = core->cons.term;
@@ -151,7 +150,6 @@
     msg->wire_msg_u.lease.leader = core->cons.leader;
 }
 
-/* Adds an entry that was not heard before. */
 static struct control_entry *
 add_entry(struct control_core *core, const wire_report *report)
 {
@@ -164,10 +162,9 @@
     return entry;
 }
 
-/* Takes an entry's report. */
 void
-control_take_report(struct control_core *core, uint64_t now,
-                    const wire_report *report)
+control_handle_report(struct control_core *core, uint64_t now,
+                      const wire_report *report)
 {
     struct control_entry *entry;
 
@@ -183,20 +180,20 @@
     entry->version = report->bundle_version;
     entry->step = report->step;
     entry->epoch = report->epoch;
-    entry->heard_at = now;
-    entry->gone = entry->gone || report->gone;
-    entry->waiting_sent = entry->gone ? 0 : report->sent_at;
-    entry->waiting_round = core->cons.round + 1;
-    entry->waiting_at = now;
-    if (!is_behind(core, entry)) {
-        entry->behind_since = 0;
+    entry->last_seen_at = now;
+    entry->stopped = entry->stopped || report->gone;
+    entry->report_sent_at = entry->stopped ? 0 : report->sent_at;
+    entry->report_round = core->cons.round + 1;
+    entry->report_received_at = now;
+    if (!is_lagging(core, entry)) {
+        entry->lagging_since = 0;
     }
-    else if (entry->behind_since == 0) {
-        entry->behind_since = now;
+    else if (entry->lagging_since == 0) {
+        entry->lagging_since = now;
     }
 }
 
-/* Finds the member of an id, to answer a fetch on any replica. */
+/* Finds an entry by id; followers, which get no reports, use the epoch. */
 static const wire_member *
 find_member(const struct control_core *core, uint64_t id)
 {
@@ -214,20 +211,20 @@
     return NULL;
 }
 
-/* Counts the epochs that an entry lacks: those after the one it has, and
- * for one that has none, those that may still matter to its requests. */
+/* Counts the epochs to send and fills their age: those after `have`, or for an
+ * entry without any (0) those whose claim records may still be valid. */
 static u_int
-epochs_wanted(struct control_core *core, uint64_t now, uint64_t have)
+count_missing_epochs(struct control_core *core, uint64_t now, uint64_t have)
 {
     const wire_epoch *all = core->state.epochs.epochs_val;
     u_int count = 1;
 
-    core->ended_ago[0] = 0;
+    core->ended_ago_ms[0] = 0;
     while (count < core->state.epochs.epochs_len) {
-        core->ended_ago[count] = now - core->epoch_ended[count];
-        if (have != 0
-                ? all[count].number <= have
-                : core->ended_ago[count] > CLAIM_HORIZON_MS + CLAIM_KEEP_MS) {
+        core->ended_ago_ms[count] = now - core->epoch_ended_at[count];
+        if (have != 0 ? all[count].number <= have
+                      : core->ended_ago_ms[count] >
+                            CLAIM_HORIZON_MS + CLAIM_KEEP_MS) {
             break;
         }
         count++;
@@ -235,10 +232,9 @@
     return count;
 }
 
-/* Sends what an entry lacks. */
 void
-control_take_fetch(struct control_core *core, uint64_t now,
-                   const wire_fetch *fetch)
+control_handle_fetch(struct control_core *core, uint64_t now,
+                     const wire_fetch *fetch)
 {
     const wire_member *member = find_member(core, fetch->entry);
 
@@ -246,7 +242,7 @@
         return;
     }
     if (fetch->bundle_version != 0 && core->state.current > 0) {
-        wire_msg *msg = control_send(core, member);
+        wire_msg *msg = control_add_send(core, member);
         wire_bundle *out = &msg->wire_msg_u.bundle;
 
         msg->kind = WIRE_BUNDLE;
@@ -257,15 +253,15 @@
         out->prev_text = core->state.prev_text;
     }
     if (fetch->epoch != 0 && core->state.epochs.epochs_len > 0) {
-        wire_msg *msg = control_send(core, member);
+        wire_msg *msg = control_add_send(core, member);
         wire_epochs *out = &msg->wire_msg_u.epochs;
-        u_int count = epochs_wanted(core, now, fetch->have_epoch);
+        u_int count = count_missing_epochs(core, now, fetch->have_epoch);
 
         msg->kind = WIRE_EPOCHS;
         out->term = core->cons.term;
         out->epochs.epochs_len = count;
         out->epochs.epochs_val = core->state.epochs.epochs_val;
         out->ended_ago.ended_ago_len = count;
-        out->ended_ago.ended_ago_val = core->ended_ago;
+        out->ended_ago.ended_ago_val = core->ended_ago_ms;
     }
 }
--- a/control-http.c
+++ b/control-http.c
@@ -1,7 +1,7 @@
 /*
- * The operators' interface of a control VM, HTTP/JSON by ulfius: submit,
- * sign off, status, the bundle in force, voters, counters. Checks what needs
- * no agreement before the core is asked.
+ * The operators' HTTP/JSON API of a control VM (ulfius): submit, sign off,
+ * status, bundle, voters, metrics. Requests are authenticated and validated
+ * here before the loop's thread passes them to the core.
  */
 #include <sodium.h>
 #include <stdlib.h>
@@ -15,17 +15,17 @@
 #include "page.h"
 #include "problem.h"
 
-#define BODY_MAX (5U * 1024 * 1024)
-#define SUBMISSION_MAX 63
+#define BODY_MAX (5U * 1024 * 1024) /* bytes */
+#define SUBMISSION_MAX 63           /* bytes of a submission id */
 
-/* A sign-off as operators send it. */
+/* Body of POST /v1/sign-offs. */
 struct sign_off_body {
     uint64_t version;
     unsigned char digest[WIRE_DIGEST];
     unsigned char signature[WIRE_SIGNATURE];
 };
 
-/* A change of voters as operators send it. */
+/* Body of POST /v1/voters. */
 struct voters_body {
     uint64_t replica;
     uint64_t remove;
@@ -39,14 +39,14 @@
      .min = 1,
      .max = INT64_MAX,
      .offset = AT(version),
-     .help = "give the version of the accepted bundle"},
+     .help = "give the version of the pending bundle"},
     {.key = "digest",
      .type = SCHEMA_HEX,
      .required = true,
      .min = WIRE_DIGEST,
      .max = WIRE_DIGEST,
      .offset = AT(digest),
-     .help = "give the SHA-256 that status shows"},
+     .help = "give the SHA-256 from `ridgeridge status`"},
     {.key = "signature",
      .type = SCHEMA_HEX,
      .required = true,
@@ -70,12 +70,12 @@
      .min = 1,
      .max = CONS_REPLICAS_MAX,
      .offset = AT(replica),
-     .help = "give the number of a control VM in the settings"},
+     .help = "give the id of a control VM from the settings"},
     {.key = "remove",
      .type = SCHEMA_UINT,
      .max = 1,
      .offset = AT(remove),
-     .help = "give 1 to remove it, 0 to add it"},
+     .help = "give 1 to remove the voter, 0 to add it"},
     {.key = NULL},
 };
 #undef AT
@@ -83,34 +83,34 @@
                                             .size = sizeof(struct voters_body),
                                             .fields = voters_fields};
 
-/* What an operator asks, on its way to the loop's thread. */
-struct ask {
+/* A request that an HTTP thread passes to the loop's thread. */
+struct operator_request {
     struct control *control;
-    struct control_call call;
-    enum control_wait_kind kind;
+    struct control_waiter waiter;
+    enum control_request_kind kind;
     wire_submit submit;
-    wire_sign_off sign;
+    wire_sign_off sign_off;
     struct voters_body voters;
-    struct bundle *bundle; /* SUBMIT: checked against the one in force */
-    json_object *out;      /* READ: the status, filled when confirmed */
-    char *text;            /* READ: the bundle in force */
+    struct bundle *bundle;   /* SUBMIT: parsed */
+    json_object *status_doc; /* READ: set by read_state_on_loop() */
+    char *bundle_text;       /* READ: set by read_state_on_loop() */
 };
 
-/* Refuses a bundle that its base does not allow. One with another base is
- * judged by compare and set. */
+/* Refuses a bundle that may not succeed the current one. One with another base
+ * fails the compare-and-set when it is applied. */
 static bool
-check_base(struct ask *ask)
+check_successor(struct operator_request *req)
 {
-    const wire_control_state *state = &ask->control->core.state;
+    const wire_control_state *state = &req->control->core.state;
 
-    return ask->submit.base != state->current ||
-           control_state_check(state, loop_wall(), ask->bundle,
-                               &ask->call.status) == STATUS_OK;
+    return req->submit.base != state->current ||
+           control_state_check_bundle(state, loop_wall(), req->bundle,
+                                      &req->waiter.status) == STATUS_OK;
 }
 
-/* The identity under which a replica answers the leader. */
+/* Identity in the last reply of a replica to this leader; 0 if unknown. */
 static uint64_t
-answering_identity(const struct control *control, uint32_t replica)
+reported_identity(const struct control *control, uint32_t replica)
 {
     const struct cons *cons = &control->core.cons;
 
@@ -123,96 +123,94 @@
     return 0;
 }
 
-/* Refuses to add a replica that has never answered the leader. */
+/* Refuses to add a replica that never replied to this leader. */
 static bool
-check_voter(struct ask *ask)
+check_voter(struct operator_request *req)
 {
-    const struct cons *cons = &ask->control->core.cons;
-    uint32_t replica = (uint32_t)ask->voters.replica;
+    const struct cons *cons = &req->control->core.cons;
+    uint32_t replica = (uint32_t)req->voters.replica;
 
-    if (ask->voters.remove || cons->role != CONS_LEADER ||
-        answering_identity(ask->control, replica) != 0) {
+    if (req->voters.remove || cons->role != CONS_LEADER ||
+        reported_identity(req->control, replica) != 0) {
         return true;
     }
-    (void)status_set(&ask->call.status, STATUS_REFUSED,
-                     "control VM %u does not answer the leader; list it in "
+    (void)status_set(&req->waiter.status, STATUS_REFUSED,
+                     "control VM %u never replied to the leader; list it in "
                      "the settings, start it, then add it",
                      replica);
     return false;
 }
 
-/* Hands a change of voters to the core. */
 static void
-ask_voters(struct ask *ask, uint64_t token)
+change_voters(struct operator_request *req, uint64_t token)
 {
-    uint32_t replica = (uint32_t)ask->voters.replica;
-    uint64_t identity = answering_identity(ask->control, replica);
+    uint32_t replica = (uint32_t)req->voters.replica;
+    uint64_t identity = reported_identity(req->control, replica);
 
-    control_core_voters(&ask->control->core, loop_now(), token, replica,
-                        ask->voters.remove ? 0 : identity);
+    control_core_change_voters(&req->control->core, loop_now(), token, replica,
+                               req->voters.remove ? 0 : identity);
 }
 
-/* Asks the core, on the loop's thread. */
+/* Loop's thread: validates the request and passes it to the core. */
 static void
-on_ask(void *data)
+submit_on_loop(void *data)
 {
-    struct ask *ask = data;
-    struct control *control = ask->control;
+    struct operator_request *req = data;
+    struct control *control = req->control;
     uint64_t now = loop_now();
     uint64_t *token = g_new(uint64_t, 1);
 
-    if ((ask->kind == CONTROL_WAIT_SUBMIT && !check_base(ask)) ||
-        (ask->kind == CONTROL_WAIT_VOTERS && !check_voter(ask))) {
-        ask->call.done = true;
+    if ((req->kind == CONTROL_REQUEST_SUBMIT && !check_successor(req)) ||
+        (req->kind == CONTROL_REQUEST_VOTERS && !check_voter(req))) {
+        req->waiter.done = true;
         g_free(token);
         return;
     }
     *token = ++control->next_token;
-    g_hash_table_insert(control->calls, token, &ask->call);
-    switch (ask->kind) {
-    case CONTROL_WAIT_SUBMIT:
-        control_core_submit(&control->core, now, *token, &ask->submit);
+    g_hash_table_insert(control->waiters, token, &req->waiter);
+    switch (req->kind) {
+    case CONTROL_REQUEST_SUBMIT:
+        control_core_submit(&control->core, now, *token, &req->submit);
         break;
-    case CONTROL_WAIT_SIGN_OFF:
-        control_core_sign_off(&control->core, now, *token, &ask->sign);
+    case CONTROL_REQUEST_SIGN_OFF:
+        control_core_sign_off(&control->core, now, *token, &req->sign_off);
         break;
-    case CONTROL_WAIT_READ:
+    case CONTROL_REQUEST_READ:
         control_core_read(&control->core, now, *token);
         break;
-    case CONTROL_WAIT_VOTERS:
-        ask_voters(ask, *token);
+    case CONTROL_REQUEST_VOTERS:
+        change_voters(req, *token);
         break;
     }
-    control_act(control);
+    control_run_actions(control);
 }
 
-/* Reads what a question asks for, on the loop's thread. */
+/* Loop's thread: copies status and bundle for the HTTP thread. */
 static void
-on_read(void *data)
+read_state_on_loop(void *data)
 {
-    struct ask *ask = data;
+    struct operator_request *req = data;
 
-    ask->out = control_status(ask->control);
-    ask->text = g_strdup(ask->control->core.state.text);
+    req->status_doc = control_status(req->control);
+    req->bundle_text = g_strdup(req->control->core.state.text);
 }
 
-/* Asks the core and waits for its answer. */
+/* HTTP thread: passes the request to the core and waits for the reply. */
 static void
-ask_core(struct ask *ask)
+run_request(struct operator_request *req)
 {
-    ask->call.status.kind = STATUS_OK;
-    ask->call.status.message[0] = '\0';
-    loop_call(on_ask, ask);
-    g_mutex_lock(&ask->call.lock);
-    while (!ask->call.done) {
-        g_cond_wait(&ask->call.changed, &ask->call.lock);
+    req->waiter.status.kind = STATUS_OK;
+    req->waiter.status.message[0] = '\0';
+    loop_call(submit_on_loop, req);
+    g_mutex_lock(&req->waiter.lock);
+    while (!req->waiter.done) {
+        g_cond_wait(&req->waiter.changed, &req->waiter.lock);
     }
-    g_mutex_unlock(&ask->call.lock);
+    g_mutex_unlock(&req->waiter.lock);
 }
 
-/* Answers with what the core said. */
 static void
-answer_status(struct _u_response *response, const struct status *st)
+respond_status(struct _u_response *response, const struct status *st)
 {
     json_object *doc;
 
@@ -227,43 +225,45 @@
     page_json(response, doc);
 }
 
-/* Finds the operator, or answers 401. */
+/* Returns the operator of the token; responds 401 and returns NULL without. */
 static const struct settings_operator *
-require_operator(struct control *control, const struct _u_request *request,
-                 struct _u_response *response)
+authenticate_operator(struct control *control,
+                      const struct _u_request *request,
+                      struct _u_response *response)
 {
     const struct settings_operator *op =
         auth_operator(&control->settings, request);
 
     if (op == NULL) {
         problem_fill(response, 401, "unauthorized",
-                     "send the operator's token as Authorization: Bearer",
+                     "operator token is missing or unknown; send it as "
+                     "Authorization: Bearer TOKEN",
                      NULL, 0);
     }
     return op;
 }
 
-/* Answers bad input. */
 static int
-bad_input(struct control *control, struct _u_response *response,
-          const struct status *st)
+respond_bad_input(struct control *control, struct _u_response *response,
+                  const struct status *st)
 {
     counter_add(&control->counters, COUNTER_HTTP_MALFORMED, 1);
     problem_from_status(response, st);
     return U_CALLBACK_COMPLETE;
 }
 
-/* POST /v1/bundles: submit. */
+/* POST /v1/bundles */
 static int
 on_submit(const struct _u_request *request, struct _u_response *response,
           void *data)
 {
     struct control *control = data;
     const struct settings_operator *op =
-        require_operator(control, request, response);
+        authenticate_operator(control, request, response);
     const char *submission =
         library_ulfius.map_get_case(request->map_header, "Idempotency-Key");
-    struct ask ask = {.control = control, .kind = CONTROL_WAIT_SUBMIT};
+    struct operator_request req = {.control = control,
+                                   .kind = CONTROL_REQUEST_SUBMIT};
     struct status st = {STATUS_OK, ""};
     struct bundle bundle;
 
@@ -272,39 +272,41 @@
     }
     if (submission == NULL || *submission == '\0' ||
         strlen(submission) > SUBMISSION_MAX) {
-        (void)status_set(&st, STATUS_BAD_INPUT,
-                         "Idempotency-Key is missing or too long; send the "
-                         "submission's id, the same when sending again");
-        return bad_input(control, response, &st);
+        (void)status_set(
+            &st, STATUS_BAD_INPUT,
+            "the Idempotency-Key header is missing or longer than 63 "
+            "bytes; send a submission id, the same on each retry");
+        return respond_bad_input(control, response, &st);
     }
     if (bundle_read("body", request->binary_body, request->binary_body_length,
                     &bundle, &st) != STATUS_OK) {
-        return bad_input(control, response, &st);
+        return respond_bad_input(control, response, &st);
     }
-    ask.bundle = &bundle;
-    ask.submit.bundle_version = bundle.version;
-    ask.submit.base = bundle.base;
-    memcpy(ask.submit.digest, bundle.digest, sizeof(ask.submit.digest));
-    ask.submit.operator_name = (char *)op->name;
-    ask.submit.submission = (char *)submission;
-    ask.submit.text =
+    req.bundle = &bundle;
+    req.submit.bundle_version = bundle.version;
+    req.submit.base = bundle.base;
+    memcpy(req.submit.digest, bundle.digest, sizeof(req.submit.digest));
+    req.submit.operator_name = (char *)op->name;
+    req.submit.submission = (char *)submission;
+    req.submit.text =
         g_strndup(request->binary_body, request->binary_body_length);
-    ask_core(&ask);
-    answer_status(response, &ask.call.status);
-    g_free(ask.submit.text);
+    run_request(&req);
+    respond_status(response, &req.waiter.status);
+    g_free(req.submit.text);
     bundle_free(&bundle);
     return U_CALLBACK_COMPLETE;
 }
 
-/* POST /v1/sign-offs: sign off. */
+/* POST /v1/sign-offs */
 static int
 on_sign_off(const struct _u_request *request, struct _u_response *response,
             void *data)
 {
     struct control *control = data;
     const struct settings_operator *op =
-        require_operator(control, request, response);
-    struct ask ask = {.control = control, .kind = CONTROL_WAIT_SIGN_OFF};
+        authenticate_operator(control, request, response);
+    struct operator_request req = {.control = control,
+                                   .kind = CONTROL_REQUEST_SIGN_OFF};
     struct status st = {STATUS_OK, ""};
     struct sign_off_body body;
 
@@ -313,94 +315,100 @@
     }
     if (schema_read(&sign_off_schema, "body", request->binary_body,
                     request->binary_body_length, &body, &st) != STATUS_OK) {
-        return bad_input(control, response, &st);
+        return respond_bad_input(control, response, &st);
     }
-    ask.sign.bundle_version = body.version;
-    memcpy(ask.sign.digest, body.digest, sizeof(ask.sign.digest));
-    memcpy(ask.sign.signature, body.signature, sizeof(ask.sign.signature));
-    ask.sign.operator_name = (char *)op->name;
-    if (!auth_check(op, &ask.sign)) {
-        (void)status_set(&st, STATUS_REFUSED,
-                         "the signature is not %s's; sign the version and "
-                         "digest with the key whose public half is in the "
-                         "settings",
-                         op->name);
-        return bad_input(control, response, &st);
+    req.sign_off.bundle_version = body.version;
+    memcpy(req.sign_off.digest, body.digest, sizeof(req.sign_off.digest));
+    memcpy(req.sign_off.signature, body.signature,
+           sizeof(req.sign_off.signature));
+    req.sign_off.operator_name = (char *)op->name;
+    if (!auth_check(op, &req.sign_off)) {
+        (void)status_set(
+            &st, STATUS_REFUSED,
+            "the signature does not verify with the public key of "
+            "operator %s in the settings; sign version and digest "
+            "with the matching secret key",
+            op->name);
+        return respond_bad_input(control, response, &st);
     }
-    ask_core(&ask);
-    answer_status(response, &ask.call.status);
+    run_request(&req);
+    respond_status(response, &req.waiter.status);
     return U_CALLBACK_COMPLETE;
 }
 
-/* POST /v1/voters: add or remove a control replica. */
+/* POST /v1/voters */
 static int
 on_voters(const struct _u_request *request, struct _u_response *response,
           void *data)
 {
     struct control *control = data;
-    struct ask ask = {.control = control, .kind = CONTROL_WAIT_VOTERS};
+    struct operator_request req = {.control = control,
+                                   .kind = CONTROL_REQUEST_VOTERS};
     struct status st = {STATUS_OK, ""};
 
-    if (require_operator(control, request, response) == NULL) {
+    if (authenticate_operator(control, request, response) == NULL) {
         return U_CALLBACK_COMPLETE;
     }
     if (schema_read(&voters_schema, "body", request->binary_body,
-                    request->binary_body_length, &ask.voters,
+                    request->binary_body_length, &req.voters,
                     &st) != STATUS_OK) {
-        return bad_input(control, response, &st);
+        return respond_bad_input(control, response, &st);
     }
-    ask_core(&ask);
-    answer_status(response, &ask.call.status);
+    run_request(&req);
+    respond_status(response, &req.waiter.status);
     return U_CALLBACK_COMPLETE;
 }
 
-/* GET /v1/status: confirmed by a quorum, or said to be unconfirmed. */
+/* GET /v1/status; without a quorum, local state with "confirmed": false. */
 static int
 on_status(const struct _u_request *request, struct _u_response *response,
           void *data)
 {
     struct control *control = data;
-    struct ask ask = {.control = control, .kind = CONTROL_WAIT_READ};
+    struct operator_request req = {.control = control,
+                                   .kind = CONTROL_REQUEST_READ};
 
-    if (require_operator(control, request, response) == NULL) {
+    if (authenticate_operator(control, request, response) == NULL) {
         return U_CALLBACK_COMPLETE;
     }
-    ask_core(&ask);
-    loop_call(on_read, &ask);
+    run_request(&req);
+    loop_call(read_state_on_loop, &req);
     json_object_object_add(
-        ask.out, "confirmed",
-        json_object_new_boolean(ask.call.status.kind == STATUS_OK));
-    json_object_object_add(ask.out, "unconfirmed_because",
-                           json_object_new_string(ask.call.status.message));
-    page_json(response, ask.out);
-    g_free(ask.text);
+        req.status_doc, "confirmed",
+        json_object_new_boolean(req.waiter.status.kind == STATUS_OK));
+    json_object_object_add(req.status_doc, "unconfirmed_because",
+                           json_object_new_string(req.waiter.status.message));
+    page_json(response, req.status_doc);
+    g_free(req.bundle_text);
     return U_CALLBACK_COMPLETE;
 }
 
-/* GET /v1/bundles/in-force: the text, when a quorum confirms it. */
+/* GET /v1/bundles/in-force; fails without a quorum. */
 static int
 on_bundle(const struct _u_request *request, struct _u_response *response,
           void *data)
 {
     struct control *control = data;
-    struct ask ask = {.control = control, .kind = CONTROL_WAIT_READ};
+    struct operator_request req = {.control = control,
+                                   .kind = CONTROL_REQUEST_READ};
 
-    if (require_operator(control, request, response) == NULL) {
+    if (authenticate_operator(control, request, response) == NULL) {
         return U_CALLBACK_COMPLETE;
     }
-    ask_core(&ask);
-    if (ask.call.status.kind != STATUS_OK) {
-        problem_from_status(response, &ask.call.status);
+    run_request(&req);
+    if (req.waiter.status.kind != STATUS_OK) {
+        problem_from_status(response, &req.waiter.status);
         return U_CALLBACK_COMPLETE;
     }
-    loop_call(on_read, &ask);
-    (void)library_ulfius.set_body(response, 200, ask.text, strlen(ask.text));
-    json_object_put(ask.out);
-    g_free(ask.text);
+    loop_call(read_state_on_loop, &req);
+    (void)library_ulfius.set_body(response, 200, req.bundle_text,
+                                  strlen(req.bundle_text));
+    json_object_put(req.status_doc);
+    g_free(req.bundle_text);
     return U_CALLBACK_COMPLETE;
 }
 
-/* GET /metrics: the counters. */
+/* GET /metrics */
 static int
 on_metrics(const struct _u_request *request, struct _u_response *response,
            void *data)
@@ -412,7 +420,7 @@
     return U_CALLBACK_COMPLETE;
 }
 
-/* Anything else. */
+/* Any other path. */
 static int
 on_other(const struct _u_request *request, struct _u_response *response,
          void *data)
@@ -422,11 +430,11 @@
     (void)request;
     counter_add(&control->counters, COUNTER_HTTP_MALFORMED, 1);
     problem_fill(response, 404, "not-found",
-                 "there is no such page; see docs/OPERATIONS.md", NULL, 0);
+                 "unknown path or method; see docs/OPERATIONS.md", NULL, 0);
     return U_CALLBACK_COMPLETE;
 }
 
-/* The pages; the last takes all other paths. */
+/* The last route matches all other paths. */
 static const struct page_route routes[] = {
     {"POST", "/v1", "/bundles", &on_submit},
     {"POST", "/v1", "/sign-offs", &on_sign_off},
@@ -437,7 +445,6 @@
     {NULL, NULL, NULL, &on_other},
 };
 
-/* Opens HTTP. */
 enum status_kind
 control_open_http(struct control *control, struct status *st)
 {
@@ -448,7 +455,6 @@
     return kind;
 }
 
-/* Closes HTTP. */
 void
 control_close_http(struct control *control)
 {
--- a/control-rollout.c
+++ b/control-rollout.c
@@ -1,7 +1,7 @@
 /*
- * What a leader proposes on its own: steps of a roll-out once every live
- * entry confirmed the one before, epochs when entries come and go, and new
- * identities of replicas that lost their disk and have caught up.
+ * Proposals of the leader: the next rollout step once every member confirmed
+ * the last one, a new epoch when entries join or leave, and a new identity
+ * for a replica that lost its disk and has caught up.
  */
 #include <stdio.h>
 #include <string.h>
@@ -10,17 +10,17 @@
 #include "fault.h"
 #include "flow.h"
 
-#define FIRST_EPOCH_MS 1500U /* after the election of the first leader */
+#define FIRST_EPOCH_DELAY_MS 1500U /* after an election */
 
-/* Says whether the last command proposed here is still on its way. */
+/* True while the last proposed STEP or EPOCH is not applied. */
 static bool
 is_proposing(const struct control_core *core)
 {
     return core->proposed_term == core->cons.term &&
-           core->proposed > core->state.applied;
+           core->proposed_index > core->state.applied;
 }
 
-/* Proposes a command unless the last one is still on its way. */
+/* Proposes a command, one at a time. */
 static void
 propose(struct control_core *core, uint64_t now, wire_command *command)
 {
@@ -31,13 +31,14 @@
     }
     index = cons_propose(&core->cons, now, command);
     if (index != 0) {
-        core->proposed = index;
+        core->proposed_index = index;
         core->proposed_term = core->cons.term;
     }
 }
 
-/* Says whether an entry has confirmed a step of the bundle in force. An
- * entry that does not know the epoch may not have pushed what it must. */
+/* True if an entry reported the current epoch and at least `step` of the
+ * current bundle. An entry in an older epoch may not have pushed all its
+ * flow records. */
 static bool
 has_confirmed(const struct control_core *core, uint64_t id, uint32_t step)
 {
@@ -49,7 +50,7 @@
             (entry->version == core->state.current && entry->step >= step));
 }
 
-/* Says whether every member confirmed a step; names those that did not. */
+/* True if every member confirmed `step`; `missing` lists the others. */
 static bool
 all_confirmed(const struct control_core *core, uint32_t step, char *missing,
               size_t size)
@@ -75,7 +76,6 @@
     return all;
 }
 
-/* Says whether the bundle governs new work on every live entry. */
 bool
 control_core_in_force(const struct control_core *core, char *missing,
                       size_t size)
@@ -87,7 +87,7 @@
            all_confirmed(core, FLOW_STEP_MOVE, missing, size);
 }
 
-/* The step that may follow now, FLOW_STEP_NONE when none may. */
+/* Returns the step to propose, FLOW_STEP_NONE if the rollout has to wait. */
 static enum flow_step
 next_step(const struct control_core *core, uint64_t now)
 {
@@ -100,11 +100,11 @@
     case FLOW_STEP_ANNOUNCE:
         return FLOW_STEP_MOVE;
     case FLOW_STEP_MOVE:
-        if (now < core->departed_at + CONTROL_LINGER_MS) {
+        if (now < core->evicted_at + CONTROL_EVICTION_DELAY_MS) {
             return FLOW_STEP_NONE;
         }
         if (all_confirmed(core, FLOW_STEP_LEARNED, NULL, 0) ||
-            now >= core->step_at + CONTROL_LEARN_MS) {
+            now >= core->step_reached_at + CONTROL_LEARN_TIMEOUT_MS) {
             return FLOW_STEP_FLIP;
         }
         return FLOW_STEP_NONE;
@@ -115,9 +115,9 @@
     }
 }
 
-/* Proposes the next step of the roll-out, or the next roll-out. */
+/* Proposes the next step, or starts the rollout of the pending bundle. */
 static void
-lead_rollout(struct control_core *core, uint64_t now)
+propose_rollout(struct control_core *core, uint64_t now)
 {
     wire_command command = {.kind = WIRE_CMD_STEP};
     wire_rollout *rollout = &command.wire_command_u.rollout;
@@ -140,33 +140,35 @@
     }
 }
 
-/* Says whether a member must leave: unheard, and surely without a lease. */
+/* True if a member stopped, or if it is silent or lags and its last lease has
+ * certainly ended. */
 static bool
-must_leave(const struct control_core *core, uint64_t now,
+must_evict(const struct control_core *core, uint64_t now,
            const wire_member *member)
 {
     const struct control_entry *entry = control_find_entry(core, member->id);
-    uint64_t heard = entry ? entry->heard_at : core->cons.elected_at;
+    uint64_t last_seen_at =
+        entry ? entry->last_seen_at : core->cons.elected_at;
     uint64_t lease = entry ? entry->lease_until : 0;
-    bool behind = entry != NULL && entry->behind_since != 0 &&
-                  now >= entry->behind_since + CONTROL_BEHIND_MS;
+    bool lagging = entry != NULL && entry->lagging_since != 0 &&
+                   now >= entry->lagging_since + CONTROL_LAG_TIMEOUT_MS;
 
-    if (entry != NULL && entry->gone) {
+    if (entry != NULL && entry->stopped) {
         return true;
     }
     if (fault_is(FAULT_EVICT_EARLY)) {
-        return now >= heard + CONTROL_SUSPECT_MS / 4;
+        return now >= last_seen_at + CONTROL_MEMBER_TIMEOUT_MS / 4;
     }
-    /* A leader before this one may have granted a lease up to its end. */
+    /* An earlier leader may have granted a lease until its own end. */
     lease = MAX(lease, core->cons.elected_at + CONTROL_LEASE_MS);
-    return (behind || now >= heard + CONTROL_SUSPECT_MS) &&
+    return (lagging || now >= last_seen_at + CONTROL_MEMBER_TIMEOUT_MS) &&
            now >= lease + CONTROL_LEASE_MS / 6;
 }
 
-/* Lists who should be in the next epoch; true when that is a change. */
+/* Lists the next epoch's members and those evicted; true on a change. */
 static bool
 next_members(struct control_core *core, uint64_t now, GArray *out,
-             GArray *dropping)
+             GArray *evicting)
 {
     const wire_epoch *epoch = control_state_epoch(&core->state);
     bool changed = epoch == NULL;
@@ -176,10 +178,10 @@
         const struct control_entry *entry =
             control_find_entry(core, member.id);
 
-        if (must_leave(core, now, &member)) {
-            core->departed_at =
-                entry != NULL && entry->gone ? core->departed_at : now;
-            g_array_append_val(dropping, member.id);
+        if (must_evict(core, now, &member)) {
+            core->evicted_at =
+                entry != NULL && entry->stopped ? core->evicted_at : now;
+            g_array_append_val(evicting, member.id);
             changed = true;
             continue;
         }
@@ -198,9 +200,9 @@
              j++) {
             known |= epoch->members.members_val[j].id == entry->self.id;
         }
-        if (!known && now < entry->heard_at + CONTROL_LEASE_MS / 2 &&
+        if (!known && now < entry->last_seen_at + CONTROL_LEASE_MS / 2 &&
             !entry->self.stopping && out->len < WIRE_MEMBERS_MAX &&
-            entry->behind_since == 0 && !entry->gone) {
+            entry->lagging_since == 0 && !entry->stopped) {
             g_array_append_val(out, entry->self);
             changed = true;
         }
@@ -208,14 +210,14 @@
     return changed && (epoch != NULL || out->len > 0);
 }
 
-/* Drops entries that are gone for long from memory. */
+/* Frees entries without a report for 20 member timeouts. */
 static void
-forget_silent(struct control_core *core, uint64_t now)
+remove_silent(struct control_core *core, uint64_t now)
 {
     for (guint i = core->entries->len; i > 0; i--) {
         struct control_entry *entry = g_ptr_array_index(core->entries, i - 1);
 
-        if (now > entry->heard_at + 20ULL * CONTROL_SUSPECT_MS) {
+        if (now > entry->last_seen_at + 20ULL * CONTROL_MEMBER_TIMEOUT_MS) {
             g_free(entry->self.name);
             g_free(entry->self.hall);
             g_free(entry);
@@ -224,39 +226,39 @@
     }
 }
 
-/* Proposes the next epoch when members changed. */
 static void
-lead_epoch(struct control_core *core, uint64_t now)
+propose_epoch(struct control_core *core, uint64_t now)
 {
     const wire_epoch *epoch = control_state_epoch(&core->state);
     wire_command command = {.kind = WIRE_CMD_EPOCH};
     GArray *members = g_array_new(FALSE, FALSE, sizeof(wire_member));
-    GArray *dropping = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+    GArray *evicting = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 
-    /* The first epoch waits for those that start together. */
-    if (epoch == NULL && now < core->cons.elected_at + FIRST_EPOCH_MS) {
-        g_array_free(dropping, TRUE);
+    /* Let entries that start together join the same first epoch. */
+    if (epoch == NULL && now < core->cons.elected_at + FIRST_EPOCH_DELAY_MS) {
+        g_array_free(evicting, TRUE);
         g_array_free(members, TRUE);
         return;
     }
-    if (!is_proposing(core) && next_members(core, now, members, dropping)) {
+    if (!is_proposing(core) && next_members(core, now, members, evicting)) {
         wire_epoch *next = &command.wire_command_u.epoch;
 
         next->number = epoch ? epoch->number + 1 : 1;
         next->members.members_len = members->len;
         next->members.members_val = (wire_member *)(void *)members->data;
-        g_array_set_size(core->dropping, 0);
-        g_array_append_vals(core->dropping, dropping->data, dropping->len);
+        g_array_set_size(core->evicting, 0);
+        g_array_append_vals(core->evicting, evicting->data, evicting->len);
         propose(core, now, &command);
     }
-    g_array_free(dropping, TRUE);
+    g_array_free(evicting, TRUE);
     g_array_free(members, TRUE);
 }
 
-/* Proposes other voters: one replica's identity set, or removed with 0. */
+/* Proposes to set a replica's identity, or with 0 to remove the replica;
+ * returns the log index, 0 if not possible. The old identity is retired. */
 uint64_t
-control_change_voters(struct control_core *core, uint64_t now,
-                      uint32_t replica, uint64_t identity)
+control_propose_voters(struct control_core *core, uint64_t now,
+                       uint32_t replica, uint64_t identity)
 {
     const wire_config *config = cons_config(&core->cons);
     wire_voter voters[WIRE_VOTERS_MAX + 1];
@@ -284,59 +286,61 @@
     return cons_propose(&core->cons, now, &command);
 }
 
-/* Admits a replica that lost its disk, once it has caught up. */
+/* Gives the seat of a replica that lost its disk to its new identity once the
+ * replica has caught up. */
 static void
-lead_voters(struct control_core *core, uint64_t now)
+propose_replaced_voters(struct control_core *core, uint64_t now)
 {
     for (size_t i = 0; i < core->cons.replica_count; i++) {
         const struct cons_peer *peer = &core->cons.peers[i];
         uint32_t replica = core->cons.replicas[i];
         const wire_config *config = cons_config(&core->cons);
-        bool seat = false;
+        bool has_voter = false;
 
         for (u_int j = 0; j < config->voters.voters_len; j++) {
-            seat |= config->voters.voters_val[j].replica == replica;
+            has_voter |= config->voters.voters_val[j].replica == replica;
         }
-        if (!seat || replica == core->cons.self || peer->identity == 0 ||
+        if (!has_voter || replica == core->cons.self || peer->identity == 0 ||
             now > peer->heard_at + CONS_ELECTION_MS ||
             peer->match < core->cons.commit ||
             cons_is_voter(&core->cons, replica, peer->identity) ||
             control_state_is_retired(&core->state, peer->identity)) {
             continue;
         }
-        if (control_change_voters(core, now, replica, peer->identity) != 0) {
+        if (control_propose_voters(core, now, replica, peer->identity) != 0) {
             return;
         }
     }
 }
 
-/* Notes how long the roll-out took from sign-off until in force. */
+/* Measures the time from sign-off until in force. */
 static void
-note_in_force(struct control_core *core, uint64_t now)
+update_in_force_ms(struct control_core *core, uint64_t now)
 {
-    if (core->signed_at != 0 && !core->state.signed_off &&
+    if (core->signed_off_at != 0 && !core->state.signed_off &&
         control_core_in_force(core, NULL, 0)) {
-        core->in_force_ms = now - core->signed_at;
-        core->signed_at = 0;
+        core->in_force_ms = now - core->signed_off_at;
+        core->signed_off_at = 0;
     }
 }
 
-/* Does a leader's work. */
+/* Proposes and grants; a new term starts without entries, as only their
+ * reports to this leader count. */
 void
-control_lead(struct control_core *core, uint64_t now)
+control_run_leader(struct control_core *core, uint64_t now)
 {
-    if (core->lead_term != core->cons.term) {
-        core->lead_term = core->cons.term;
-        core->step_at = now;
-        control_forget_entries(core);
+    if (core->entries_term != core->cons.term) {
+        core->entries_term = core->cons.term;
+        core->step_reached_at = now;
+        control_clear_entries(core);
     }
     if (!cons_is_ready(&core->cons)) {
         return;
     }
     control_grant_leases(core);
-    lead_epoch(core, now);
-    lead_rollout(core, now);
-    lead_voters(core, now);
-    note_in_force(core, now);
-    forget_silent(core, now);
+    propose_epoch(core, now);
+    propose_rollout(core, now);
+    propose_replaced_voters(core, now);
+    update_in_force_ms(core, now);
+    remove_silent(core, now);
 }
--- a/control-state.c
+++ b/control-state.c
@@ -1,4 +1,4 @@
-/* Applies committed commands to the state of control. */
+/* Applies committed commands: bundles, sign-offs, steps, epochs, voters. */
 #include "control-state.h"
 
 #include <glib.h>
@@ -10,15 +10,13 @@
 #include "bundle.h"
 #include "codec.h"
 
-/* Replaces a string of an XDR struct. */
 static void
-set_string(char **place, const char *text)
+set_string(char **string, const char *text)
 {
-    g_free(*place);
-    *place = g_strdup(text);
+    g_free(*string);
+    *string = g_strdup(text);
 }
 
-/* Frees the accepted bundle and puts an empty one in place. */
 static void
 clear_pending(wire_control_state *state)
 {
@@ -31,7 +29,7 @@
     set_string(&state->signed_by, "");
 }
 
-/* Starts an empty state; XDR needs every string to be there. */
+/* XDR cannot encode a NULL string, so every string is set. */
 void
 control_state_open(wire_control_state *state)
 {
@@ -41,16 +39,15 @@
     clear_pending(state);
 }
 
-/* Frees a state. */
 void
 control_state_close(wire_control_state *state)
 {
     codec_free_state(state);
 }
 
-/* Finds the outcome of a submission. */
 const wire_submission *
-control_state_find(const wire_control_state *state, const char *submission)
+control_state_find_outcome(const wire_control_state *state,
+                           const char *submission)
 {
     for (u_int i = 0; i < state->submissions.submissions_len; i++) {
         const wire_submission *s = &state->submissions.submissions_val[i];
@@ -62,14 +59,14 @@
     return NULL;
 }
 
-/* Keeps an outcome; the oldest goes when there are too many. */
+/* Appends an outcome, dropping the oldest beyond WIRE_OUTCOMES_MAX. */
 static void
-keep_outcome(wire_control_state *state, const wire_submit *submit,
-             enum status_kind result, const char *message)
+add_outcome(wire_control_state *state, const wire_submit *submit,
+            enum status_kind result, const char *message)
 {
     u_int count = state->submissions.submissions_len;
     wire_submission *all = state->submissions.submissions_val;
-    wire_submission *place;
+    wire_submission *outcome;
 
     if (count == WIRE_OUTCOMES_MAX) {
         g_free(all[0].submission);
@@ -79,35 +76,34 @@
         count--;
     }
     all = g_renew(wire_submission, all, count + 1);
-    place = &all[count];
-    memset(place, 0, sizeof(*place));
-    place->submission = g_strdup(submit->submission);
-    place->operator_name = g_strdup(submit->operator_name);
-    place->bundle_version = submit->bundle_version;
-    memcpy(place->digest, submit->digest, sizeof(place->digest));
-    place->result = result;
-    place->message = g_strdup(message);
+    outcome = &all[count];
+    memset(outcome, 0, sizeof(*outcome));
+    outcome->submission = g_strdup(submit->submission);
+    outcome->operator_name = g_strdup(submit->operator_name);
+    outcome->bundle_version = submit->bundle_version;
+    memcpy(outcome->digest, submit->digest, sizeof(outcome->digest));
+    outcome->result = result;
+    outcome->message = g_strdup(message);
     state->submissions.submissions_val = all;
     state->submissions.submissions_len = count + 1;
 }
 
-/* Applies a sign-off by another operator than the submitter. */
+/* Ignores sign-offs by the submitter and of any bundle but the pending one. */
 static void
 apply_sign_off(wire_control_state *state, const wire_sign_off *sign)
 {
-    const wire_submit *held = &state->pending;
+    const wire_submit *pending = &state->pending;
 
     if (!state->has_pending || state->signed_off ||
-        held->bundle_version != sign->bundle_version ||
-        memcmp(held->digest, sign->digest, sizeof(held->digest)) != 0 ||
-        strcmp(held->operator_name, sign->operator_name) == 0) {
+        pending->bundle_version != sign->bundle_version ||
+        memcmp(pending->digest, sign->digest, sizeof(pending->digest)) != 0 ||
+        strcmp(pending->operator_name, sign->operator_name) == 0) {
         return;
     }
     state->signed_off = TRUE;
     set_string(&state->signed_by, sign->operator_name);
 }
 
-/* Says whether a list of endpoints holds one. */
 static bool
 has_endpoint(const struct bundle_endpoint *list, size_t count,
              const struct bundle_endpoint *one)
@@ -121,25 +117,23 @@
     return false;
 }
 
-/* Drops endpoints that have rested long enough. */
 static void
-drop_rested(wire_control_state *state, uint64_t wall)
+drop_expired_cooldowns(wire_control_state *state, uint64_t wall)
 {
     wire_resting *all = state->resting.resting_val;
-    u_int kept = 0;
+    u_int count = 0;
 
     for (u_int i = 0; i < state->resting.resting_len; i++) {
-        if (wall < all[i].since + CONTROL_REST_MS) {
-            all[kept++] = all[i];
+        if (wall < all[i].since + CONTROL_COOLDOWN_MS) {
+            all[count++] = all[i];
         }
     }
-    state->resting.resting_len = kept;
+    state->resting.resting_len = count;
 }
 
-/* Puts an endpoint to rest. */
 static void
-add_resting(wire_control_state *state, const struct bundle_endpoint *endpoint,
-            uint64_t wall)
+add_cooldown(wire_control_state *state, const struct bundle_endpoint *endpoint,
+             uint64_t wall)
 {
     u_int count = state->resting.resting_len;
 
@@ -153,9 +147,9 @@
     state->resting.resting_len = count + 1;
 }
 
-/* Puts the endpoints to rest that the next bundle no longer has. */
+/* Starts the cooldown of endpoints that the pending bundle drops. */
 static void
-rest_dropped(wire_control_state *state, uint64_t wall)
+cool_down_removed(wire_control_state *state, uint64_t wall)
 {
     struct bundle before;
     struct bundle after;
@@ -165,7 +159,7 @@
     size_t old_count;
     size_t new_count;
 
-    drop_rested(state, wall);
+    drop_expired_cooldowns(state, wall);
     if (bundle_read("before", state->text, strlen(state->text), &before,
                     &st) != STATUS_OK) {
         return;
@@ -179,7 +173,7 @@
     new = bundle_endpoints(&after, &new_count);
     for (size_t i = 0; i < old_count; i++) {
         if (!has_endpoint(new, new_count, &old[i])) {
-            add_resting(state, &old[i], wall);
+            add_cooldown(state, &old[i], wall);
         }
     }
     g_free(old);
@@ -188,17 +182,17 @@
     bundle_free(&after);
 }
 
-/* Refuses an endpoint that still rests from another service. */
+/* Refuses an endpoint in cooldown after its use by another service. */
 static enum status_kind
-check_resting(const wire_control_state *state, uint64_t wall,
-              const struct bundle *next, struct status *st)
+check_cooldowns(const wire_control_state *state, uint64_t wall,
+                const struct bundle *next, struct status *st)
 {
     size_t count;
     struct bundle_endpoint *list = bundle_endpoints(next, &count);
 
     for (u_int i = 0; i < state->resting.resting_len; i++) {
         const wire_resting *r = &state->resting.resting_val[i];
-        uint64_t until = r->since + CONTROL_REST_MS;
+        uint64_t until = r->since + CONTROL_COOLDOWN_MS;
         char text[ADDRESS_TEXT];
         uint64_t minutes = wall < until ? 1 + (until - wall) / 60000 : 0;
 
@@ -218,10 +212,9 @@
     return st->kind;
 }
 
-/* Checks a submission. */
 enum status_kind
-control_state_check(const wire_control_state *state, uint64_t wall,
-                    const struct bundle *next, struct status *st)
+control_state_check_bundle(const wire_control_state *state, uint64_t wall,
+                           const struct bundle *next, struct status *st)
 {
     struct bundle base;
 
@@ -236,13 +229,13 @@
     if (st->kind != STATUS_OK) {
         return st->kind;
     }
-    return check_resting(state, wall, next, st);
+    return check_cooldowns(state, wall, next, st);
 }
 
-/* Checks a submission against the bundle that is in force at its place in the
- * log: the one that was in force when it was sent may be another. */
+/* Repeats the checks when the submission is applied, as the current bundle may
+ * have changed since the leader received it. */
 static enum status_kind
-judge_bundle(const wire_control_state *state, const wire_submit *submit,
+check_bundle(const wire_control_state *state, const wire_submit *submit,
              char *message, size_t size)
 {
     struct bundle next;
@@ -253,7 +246,7 @@
         (void)snprintf(message, size, "%s", st.message);
         return st.kind;
     }
-    (void)control_state_check(state, submit->wall, &next, &st);
+    (void)control_state_check_bundle(state, submit->wall, &next, &st);
     bundle_free(&next);
     if (st.kind != STATUS_OK) {
         (void)snprintf(message, size, "%s; use another --submission then",
@@ -264,19 +257,21 @@
     return STATUS_OK;
 }
 
-/* Decides on a submission: compare and set on version and base. */
+/* Compare-and-set on version and base, then the checks of the bundle. The
+ * messages are part of the replicated state. */
 static enum status_kind
-judge_submit(const wire_control_state *state, const wire_submit *submit,
+check_submit(const wire_control_state *state, const wire_submit *submit,
              char *message, size_t size)
 {
-    const wire_submit *held = &state->pending;
+    const wire_submit *pending = &state->pending;
 
-    if (state->has_pending && submit->bundle_version <= held->bundle_version) {
+    if (state->has_pending &&
+        submit->bundle_version <= pending->bundle_version) {
         (void)snprintf(message, size,
                        "version %llu was accepted from %s as submission %s; "
                        "look at it, then submit a higher version",
-                       (unsigned long long)held->bundle_version,
-                       held->operator_name, held->submission);
+                       (unsigned long long)pending->bundle_version,
+                       pending->operator_name, pending->submission);
         return STATUS_CONFLICT;
     }
     if (submit->bundle_version <= state->current) {
@@ -290,7 +285,7 @@
         (void)snprintf(message, size,
                        "version %llu is signed off and waits for its "
                        "roll-out; submit one made from it in some seconds",
-                       (unsigned long long)held->bundle_version);
+                       (unsigned long long)pending->bundle_version);
         return STATUS_REFUSED;
     }
     if (submit->base != state->current) {
@@ -301,21 +296,21 @@
                        (unsigned long long)state->current);
         return STATUS_CONFLICT;
     }
-    return judge_bundle(state, submit, message, size);
+    return check_bundle(state, submit, message, size);
 }
 
-/* Applies a submission; one that was seen before changes nothing. */
+/* Idempotent by submission id. */
 static void
 apply_submit(wire_control_state *state, const wire_submit *submit)
 {
     char message[256];
     enum status_kind result;
 
-    if (control_state_find(state, submit->submission) != NULL) {
+    if (control_state_find_outcome(state, submit->submission) != NULL) {
         return;
     }
-    result = judge_submit(state, submit, message, sizeof(message));
-    keep_outcome(state, submit, result, message);
+    result = check_submit(state, submit, message, sizeof(message));
+    add_outcome(state, submit, result, message);
     if (result != STATUS_OK) {
         return;
     }
@@ -329,10 +324,10 @@
     set_string(&state->pending.text, submit->text);
 }
 
-/* Forgets epochs that ended before the first bundle: nothing can have run in
- * them, so that nobody needs to read their replicas. */
+/* Drops the epochs before the first bundle; without a bundle no request ran,
+ * so they hold no claims. */
 static void
-forget_epochs(wire_control_state *state)
+drop_ended_epochs(wire_control_state *state)
 {
     for (u_int i = 1; i < state->epochs.epochs_len; i++) {
         codec_free_epoch(&state->epochs.epochs_val[i]);
@@ -340,13 +335,12 @@
     state->epochs.epochs_len = MIN(state->epochs.epochs_len, 1);
 }
 
-/* Begins the roll-out of the accepted bundle. */
 static void
-promote_pending(wire_control_state *state, uint64_t wall)
+start_rollout(wire_control_state *state, uint64_t wall)
 {
-    rest_dropped(state, wall);
+    cool_down_removed(state, wall);
     if (state->current == 0) {
-        forget_epochs(state);
+        drop_ended_epochs(state);
     }
     state->prev_version = state->current;
     g_free(state->prev_text);
@@ -357,7 +351,6 @@
     clear_pending(state);
 }
 
-/* Applies a step of the roll-out. */
 static void
 apply_step(wire_control_state *state, const wire_rollout *rollout)
 {
@@ -367,11 +360,11 @@
     }
     if (state->has_pending && state->signed_off &&
         rollout->bundle_version == state->pending.bundle_version) {
-        promote_pending(state, rollout->wall);
+        start_rollout(state, rollout->wall);
     }
 }
 
-/* Applies an epoch, when it follows the one in force. */
+/* Ignores an epoch that is not the successor of the current one. */
 static void
 apply_epoch(wire_control_state *state, const wire_epoch *epoch)
 {
@@ -393,7 +386,7 @@
     state->epochs.epochs_len = count + 1;
 }
 
-/* Remembers an identity that must never vote again. */
+/* Records the identity that the change retires; cons.c applies the voters. */
 static void
 apply_config(wire_control_state *state, const wire_config *config)
 {
@@ -408,7 +401,6 @@
     state->retired.retired_len = count + 1;
 }
 
-/* Applies one command. */
 void
 control_state_apply(wire_control_state *state, uint64_t index,
                     const wire_command *command)
@@ -416,7 +408,7 @@
     state->applied = index;
     switch (command->kind) {
     case WIRE_CMD_NOOP:
-    case WIRE_CMD_ROUTES: /* of deployments whose upstreams register */
+    case WIRE_CMD_ROUTES: /* registration deployments only */
     case WIRE_CMD_HALL:
     case WIRE_CMD_STATE:
         return;
@@ -438,14 +430,12 @@
     }
 }
 
-/* The epoch in force. */
 const wire_epoch *
 control_state_epoch(const wire_control_state *state)
 {
     return state->epochs.epochs_len ? &state->epochs.epochs_val[0] : NULL;
 }
 
-/* Says whether an identity was retired. */
 bool
 control_state_is_retired(const wire_control_state *state, uint64_t identity)
 {
--- a/control-state.h
+++ b/control-state.h
@@ -1,8 +1,8 @@
 /**
  * @file control-state.h
- * The state that committed commands build: the bundle in force and the step
- * of its roll-out, the accepted one, the outcomes of submissions, and the
- * epochs. A pure function of the log, the same on every replica.
+ * The control plane's replicated state machine: bundle and rollout step,
+ * pending bundle, outcomes of submissions, epochs and retired voters. It is a
+ * pure function of the log and so the same on every replica.
  */
 #ifndef RIDGERIDGE_CONTROL_STATE_H
 #define RIDGERIDGE_CONTROL_STATE_H
@@ -14,37 +14,40 @@
 #include "generated/wire.h"
 #include "status.h"
 
-/** Starts an empty state. */
+/** Initializes an empty state. */
 void control_state_open(wire_control_state *state);
 
 /** Frees a state. */
 void control_state_close(wire_control_state *state);
 
-/** Applies one committed command; `index` is its place in the log. */
+/** Applies the committed command at log index `index`. */
 void control_state_apply(wire_control_state *state, uint64_t index,
                          const wire_command *command);
 
-/** How long an endpoint rests before another service may have it: longer
- * than an entry that was cut off forwards its flows (FLOW_STALE_MS). */
-#define CONTROL_REST_MS 7500000U
+/** Time before an endpoint that a bundle dropped may join another service.
+ * Longer than an entry without a lease keeps forwarding its flows
+ * (FLOW_STALE_MS). */
+#define CONTROL_COOLDOWN_MS 7500000U
 
 /**
- * Checks a submission against the bundle in force and the resting endpoints.
+ * Checks a bundle against the current one and the endpoints in cooldown.
  * @param wall ms since 1970
- * @return STATUS_REFUSED with the remedy when it would misdeliver or cut
+ * @return STATUS_REFUSED, with the remedy, if it would misdeliver or cut flows
  */
-enum status_kind control_state_check(const wire_control_state *state,
-                                     uint64_t wall, const struct bundle *next,
-                                     struct status *st);
+enum status_kind control_state_check_bundle(const wire_control_state *state,
+                                            uint64_t wall,
+                                            const struct bundle *next,
+                                            struct status *st);
 
-/** Finds the outcome of a submission; NULL when it is not known. */
-const wire_submission *control_state_find(const wire_control_state *state,
-                                          const char *submission);
+/** Finds the outcome of a submission id; NULL if there is none. */
+const wire_submission *
+control_state_find_outcome(const wire_control_state *state,
+                           const char *submission);
 
-/** The members of the epoch in force; NULL before the first. */
+/** Returns the current epoch; NULL before the first. */
 const wire_epoch *control_state_epoch(const wire_control_state *state);
 
-/** Says whether an identity has lost its place among the voters. */
+/** Tells whether an identity was removed from the voters for good. */
 bool control_state_is_retired(const wire_control_state *state,
                               uint64_t identity);
 
--- a/control-status.c
+++ b/control-status.c
@@ -1,4 +1,4 @@
-/* What a control VM tells operators. */
+/* Builds the JSON document of GET /v1/status. */
 #include <stdio.h>
 
 #include "control.h"
@@ -6,7 +6,7 @@
 #include "loop.h"
 #include "page.h"
 
-/* What the leader knows of one member. */
+/* A member of the epoch; on the leader with the fields of its last report. */
 static json_object *
 member_json(const struct control_core *core, const wire_member *member)
 {
@@ -27,7 +27,7 @@
             page_add_number(out, "version", entry->version);
             page_add_number(out, "step", entry->step);
             page_add_number(out, "epoch", entry->epoch);
-            page_add_number(out, "heard_ms_ago", now - entry->heard_at);
+            page_add_number(out, "heard_ms_ago", now - entry->last_seen_at);
             page_add_number(out, "lease_left_ms",
                             entry->lease_until > now ? entry->lease_until - now
                                                      : 0);
@@ -36,7 +36,6 @@
     return out;
 }
 
-/* Names a step. */
 static const char *
 step_name(uint32_t step)
 {
@@ -57,7 +56,6 @@
     return "none";
 }
 
-/* The accepted bundle that is not rolled out. */
 static json_object *
 pending_json(const wire_control_state *state)
 {
@@ -76,7 +74,6 @@
     return out;
 }
 
-/* The voters. */
 static json_object *
 voters_json(const struct control_core *core)
 {
@@ -93,7 +90,6 @@
     return out;
 }
 
-/* The status of a control VM. */
 json_object *
 control_status(struct control *control)
 {
--- a/control.c
+++ b/control.c
@@ -1,4 +1,5 @@
-/* The life of a control process: start, actions of the core, stop. */
+/* Start, event loop and stop of a control process; carries out the actions of
+ * control-core.h. */
 #include "control.h"
 
 #include <signal.h>
@@ -11,9 +12,8 @@
 #include "rpc.h"
 #include "seal.h"
 
-#define TICK_MS 20U
+#define TICK_MS 20U /* period of control_core_tick() */
 
-/* Sends a message to another replica. */
 static void
 send_to_replica(struct control *control, struct cons_action *action)
 {
@@ -29,9 +29,9 @@
     g_byte_array_unref(bytes);
 }
 
-/* Carries out one action of consensus; false when storage failed. */
+/* Carries out one action of cons.h; false if storage failed. */
 static bool
-act_cons(struct control *control, struct cons_action *action)
+run_cons_action(struct control *control, struct cons_action *action)
 {
     struct cons *cons = &control->core.cons;
     struct status st = {STATUS_OK, ""};
@@ -66,7 +66,6 @@
     return true;
 }
 
-/* Sends a message to an entry. */
 static void
 send_to_entry(struct control_action *action)
 {
@@ -76,28 +75,28 @@
     g_byte_array_unref(bytes);
 }
 
-/* Answers a waiting operator. */
+/* Wakes the HTTP thread that waits for the reply. */
 static void
-answer(struct control *control, const struct control_action *action)
+complete_request(struct control *control, const struct control_action *action)
 {
-    struct control_call *call =
-        g_hash_table_lookup(control->calls, &action->token);
+    struct control_waiter *waiter =
+        g_hash_table_lookup(control->waiters, &action->token);
 
-    if (call == NULL) {
+    if (waiter == NULL) {
         return;
     }
-    g_hash_table_remove(control->calls, &action->token);
-    g_mutex_lock(&call->lock);
-    call->status = action->status;
-    call->done = true;
-    g_cond_signal(&call->changed);
-    g_mutex_unlock(&call->lock);
+    g_hash_table_remove(control->waiters, &action->token);
+    g_mutex_lock(&waiter->lock);
+    waiter->status = action->status;
+    waiter->done = true;
+    g_cond_signal(&waiter->changed);
+    g_mutex_unlock(&waiter->lock);
 }
 
-/* Carries out the core's actions. What storage refused is not answered, and
- * nothing that follows it in the same batch is done. */
+/* After a storage error the replica stops taking part: the remaining actions,
+ * messages and replies included, are dropped. */
 void
-control_act(struct control *control)
+control_run_actions(struct control *control)
 {
     size_t count;
     const struct control_action *all =
@@ -108,7 +107,7 @@
 
         switch (action.kind) {
         case CONTROL_CONS:
-            if (!act_cons(control, &action.cons)) {
+            if (!run_cons_action(control, &action.cons)) {
                 cons_fail(&control->core.cons);
             }
             break;
@@ -116,14 +115,13 @@
             send_to_entry(&action);
             break;
         case CONTROL_REPLY:
-            answer(control, &action);
+            complete_request(control, &action);
             break;
         }
     }
     control_core_clear(&control->core);
 }
 
-/* Takes a message. */
 static void
 on_message(void *data, const wire_msg *msg)
 {
@@ -131,10 +129,9 @@
 
     control->core.wall = loop_wall();
     control_core_receive(&control->core, loop_now(), msg);
-    control_act(control);
+    control_run_actions(control);
 }
 
-/* Logs changes of role, step and epoch. */
 static void
 log_changes(struct control *control)
 {
@@ -142,7 +139,7 @@
     static uint64_t step;
     static uint64_t epoch;
     const struct control_core *core = &control->core;
-    const wire_epoch *now = control_state_epoch(&core->state);
+    const wire_epoch *current = control_state_epoch(&core->state);
 
     if (role != core->cons.role) {
         role = core->cons.role;
@@ -152,19 +149,18 @@
                                           : "candidate",
                   (unsigned long long)core->cons.term);
     }
-    if (step != core->step_seen) {
-        step = core->step_seen;
+    if (step != core->step_key) {
+        step = core->step_key;
         log_event(LOG_INFO, "rollout", "version=%llu step=%u",
                   (unsigned long long)core->state.current, core->state.step);
     }
-    if (now != NULL && epoch != now->number) {
-        epoch = now->number;
+    if (current != NULL && epoch != current->number) {
+        epoch = current->number;
         log_event(LOG_INFO, "epoch", "number=%llu members=%u",
-                  (unsigned long long)epoch, now->members.members_len);
+                  (unsigned long long)epoch, current->members.members_len);
     }
 }
 
-/* Lets time pass. */
 static void
 on_tick(void *data)
 {
@@ -172,20 +168,20 @@
 
     control->core.wall = loop_wall();
     control_core_tick(&control->core, loop_now());
-    control_act(control);
+    control_run_actions(control);
     log_changes(control);
 }
 
-/* Ends the process; the log needs nothing more. */
+/* SIGTERM, SIGINT: saved log entries are synced, so nothing is flushed. */
 static void
-on_terminate(void *data)
+on_stop_signal(void *data)
 {
     (void)data;
     log_event(LOG_INFO, "stop-begins", "role=control");
     loop_stop();
 }
 
-/* Opens the log file again. */
+/* SIGHUP: reopens the log file after its rotation. */
 static void
 on_hangup(void *data)
 {
@@ -193,14 +189,13 @@
     log_reopen();
 }
 
-/* Opens the data folder and starts the core from it. */
 static enum status_kind
 open_core(struct control *control, struct status *st)
 {
     struct settings *s = &control->settings;
     wire_voter voters[CONS_REPLICAS_MAX];
     uint32_t replicas[CONS_REPLICAS_MAX];
-    wire_config founders = {.voters = {.voters_val = voters}};
+    wire_config bootstrap_voters = {.voters = {.voters_val = voters}};
     struct cons_stored stored;
     uint64_t seed;
 
@@ -215,38 +210,38 @@
     for (size_t i = 0; i < s->control_count; i++) {
         replicas[i] = (uint32_t)s->controls[i].id;
         if (s->controls[i].founder) {
-            voters[founders.voters.voters_len].replica = replicas[i];
-            voters[founders.voters.voters_len++].identity = replicas[i];
+            voters[bootstrap_voters.voters.voters_len].replica = replicas[i];
+            voters[bootstrap_voters.voters.voters_len++].identity =
+                replicas[i];
         }
     }
     randombytes_buf(&seed, sizeof(seed));
     control_core_open(&control->core, loop_now(), (uint32_t)s->id,
                       control->store.identity, replicas, s->control_count,
-                      &founders, seed, &stored, &control->counters);
+                      &bootstrap_voters, seed, &stored, &control->counters);
     return STATUS_OK;
 }
 
-/* Runs a control VM. */
 enum status_kind
 control_run(struct settings *settings, struct status *st)
 {
     static struct control control;
 
     (void)signal(SIGPIPE, SIG_IGN);
-    /* A file that may not grow is an error of the disk, not an end. */
+    /* Beyond RLIMIT_FSIZE, write() then fails with EFBIG. */
     (void)signal(SIGXFSZ, SIG_IGN);
     control.settings = *settings;
-    control.calls =
+    control.waiters =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
     if (!seal_open(settings->cluster_key)) {
-        return status_set(st, STATUS_IO, "libsodium does not start");
+        return status_set(st, STATUS_IO, "cannot initialize libsodium");
     }
     if (open_core(&control, st) != STATUS_OK) {
         return st->kind;
     }
     loop_open(on_tick, &control, TICK_MS);
-    loop_signal(SIGTERM, on_terminate, &control);
-    loop_signal(SIGINT, on_terminate, &control);
+    loop_signal(SIGTERM, on_stop_signal, &control);
+    loop_signal(SIGINT, on_stop_signal, &control);
     loop_signal(SIGHUP, on_hangup, &control);
     if (rpc_listen(settings->address, (uint16_t)settings->rpc_port, on_message,
                    &control, &control.counters, st) != STATUS_OK ||
--- a/tests/test-control.c
+++ b/tests/test-control.c
@@ -376,8 +376,8 @@
         const struct sim_node *peer = &sim->nodes[replica - 1];
         bool voter = cons_is_voter(&core->cons, replica, peer->disk.identity);
 
-        control_core_voters(core, sim->now, 0, replica,
-                            voter ? 0 : peer->disk.identity);
+        control_core_change_voters(core, sim->now, 0, replica,
+                                   voter ? 0 : peer->disk.identity);
         sim_act(sim, sim_leader(sim));
     }
 }
@@ -617,7 +617,7 @@
 
     control_core_open(&core, now, self, self, &self, 1, &founders, 1, NULL,
                       &counters);
-    for (unsigned i = 0; i < 3 * CONTROL_COMPACT; i++) {
+    for (unsigned i = 0; i < 3 * CONTROL_COMPACT_ENTRIES; i++) {
         wire_sign_off sign = {.bundle_version = i + 1, .operator_name = "one"};
         size_t count;
         const struct control_action *all;
@@ -635,7 +635,7 @@
         }
         control_core_clear(&core);
     }
-    g_assert_cmpuint(core.cons.snapshot.index, >, CONTROL_COMPACT);
+    g_assert_cmpuint(core.cons.snapshot.index, >, CONTROL_COMPACT_ENTRIES);
     control_core_close(&core);
 }
 
--- a/tests/test-input.c
+++ b/tests/test-input.c
@@ -246,7 +246,7 @@
                             .wall = wall,
                             .text = text};
     control_state_apply(state, state->applied + 1, &command);
-    result = (enum status_kind)control_state_find(state, id)->result;
+    result = (enum status_kind)control_state_find_outcome(state, id)->result;
     command = (wire_command){.kind = WIRE_CMD_SIGN_OFF};
     command.wire_command_u.sign_off.bundle_version = version;
     command.wire_command_u.sign_off.operator_name = (char *)"bob";
@@ -268,7 +268,7 @@
     static const char *const moved =
         FLOW("s", "10.1.0.1", U2) "," FLOW("t", "10.1.0.2", U1);
     static const char *const left = FLOW("s", "10.1.0.1", U2);
-    const uint64_t end = 2000 + CONTROL_REST_MS;
+    const uint64_t end = 2000 + CONTROL_COOLDOWN_MS;
     wire_control_state state;
 
     control_state_open(&state);
