--- a/claim.c
+++ b/claim.c
@@ -1,4 +1,4 @@
-/* The records of once-only requests at one replica. */
+/* Idempotency-Key records of one replica. */
 #include "claim.h"
 
 #include <string.h>
@@ -6,21 +6,18 @@
 #include "fault.h"
 #include "hash.h"
 
-/* Hashes a key for the table. */
 static guint
 hash_key(gconstpointer key)
 {
     return (guint)hash_bytes(HASH_KEY, key, WIRE_KEY);
 }
 
-/* Compares two keys. */
 static gboolean
 equal_keys(gconstpointer a, gconstpointer b)
 {
     return memcmp(a, b, WIRE_KEY) == 0;
 }
 
-/* Frees a record. */
 static void
 free_record(gpointer data)
 {
@@ -30,7 +27,6 @@
     g_free(record);
 }
 
-/* Copies an outcome over another. */
 void
 claim_copy_outcome(const wire_outcome *from, wire_outcome *to)
 {
@@ -41,29 +37,26 @@
     to->body.body_val = body;
 }
 
-/* Starts an empty table. */
 void
 claim_open(struct claim_table *table, uint64_t self)
 {
     table->records =
         g_hash_table_new_full(hash_key, equal_keys, NULL, free_record);
-    table->partial =
+    table->received =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
                               (GDestroyNotify)g_hash_table_destroy);
     table->absorbed = g_array_new(FALSE, FALSE, sizeof(struct claim_absorbed));
     table->self = self;
 }
 
-/* Frees a table. */
 void
 claim_close(struct claim_table *table)
 {
     g_hash_table_destroy(table->records);
-    g_hash_table_destroy(table->partial);
+    g_hash_table_destroy(table->received);
     g_array_free(table->absorbed, TRUE);
 }
 
-/* Adds a record. */
 static struct claim_record *
 add_record(struct claim_table *table, const wire_claim *claim)
 {
@@ -74,7 +67,6 @@
     return record;
 }
 
-/* Says whether a claim comes from the coordinator that holds the record. */
 static bool
 is_holder(const struct claim_record *record, const wire_claim *claim)
 {
@@ -82,7 +74,6 @@
            record->claim.token == claim->token;
 }
 
-/* Says that a key ended, and how. */
 static void
 reply_done(struct claim_record *record, wire_claim_reply *out)
 {
@@ -90,10 +81,10 @@
     out->outcome = &record->outcome;
 }
 
-/* Decides about a claim on a key that has a record. */
+/* Decides a claim on a key that has a record. */
 static void
-judge_record(struct claim_record *record, const wire_claim *claim,
-             wire_claim_reply *out)
+decide_record(struct claim_record *record, const wire_claim *claim,
+              wire_claim_reply *out)
 {
     if (memcmp(record->claim.digest, claim->digest, WIRE_KEY) != 0) {
         out->result = WIRE_CLAIM_CONFLICT;
@@ -122,7 +113,7 @@
     }
 }
 
-/* Says whether the epochs of replica and coordinator forbid an answer. */
+/* Fences claims of another epoch, and probes of a newer epoch. */
 static bool
 is_fenced(uint64_t epoch, const wire_claim *claim)
 {
@@ -132,10 +123,9 @@
     return claim->probe ? epoch < claim->epoch : epoch != claim->epoch;
 }
 
-/* Decides about a claim or probe. */
 void
-claim_take(struct claim_table *table, uint64_t epoch, const wire_claim *claim,
-           wire_claim_reply *out)
+claim_decide(struct claim_table *table, uint64_t epoch,
+             const wire_claim *claim, wire_claim_reply *out)
 {
     struct claim_record *record =
         g_hash_table_lookup(table->records, claim->key);
@@ -145,13 +135,14 @@
     out->replica = table->self;
     out->epoch = epoch;
     out->probe = claim->probe;
-    out->absorbed.absorbed_len = claim_list_absorbed(table, table->replied);
-    out->absorbed.absorbed_val = table->replied;
+    out->absorbed.absorbed_len =
+        claim_list_absorbed(table, table->reply_absorbed);
+    out->absorbed.absorbed_val = table->reply_absorbed;
     if (is_fenced(epoch, claim)) {
         out->result = WIRE_CLAIM_EPOCH;
     }
     else if (record != NULL) {
-        judge_record(record, claim, out);
+        decide_record(record, claim, out);
     }
     else if (claim->probe) {
         out->result = WIRE_CLAIM_NONE;
@@ -162,7 +153,6 @@
     }
 }
 
-/* Puts an outcome into a record. */
 static void
 end_record(struct claim_record *record, const wire_outcome *outcome)
 {
@@ -171,7 +161,7 @@
         outcome->kind == WIRE_OUTCOME_NOT_RUN ? CLAIM_RELEASED : CLAIM_DONE;
 }
 
-/* Ends a record, unless it belongs to another claim. */
+/* An outcome that arrives without its claim adds a record. */
 void
 claim_finish(struct claim_table *table, const wire_finish *finish)
 {
@@ -186,19 +176,20 @@
     }
 }
 
-/* Remembers what was taken over. */
+/* Drops the oldest handover if the list is full. */
 static void
-note_absorbed(struct claim_table *table, uint64_t wall,
-              const wire_absorbed *what)
+add_absorbed(struct claim_table *table, uint64_t wall,
+             const wire_absorbed *absorbed)
 {
-    struct claim_absorbed new = {
-        .what = *what, .until = wall + CLAIM_HORIZON_MS + CLAIM_KEEP_MS};
+    struct claim_absorbed new = {.absorbed = *absorbed,
+                                 .expires_at = wall + CLAIM_DEADLINE_MAX_MS +
+                                               CLAIM_RETENTION_MS};
 
     for (guint i = 0; i < table->absorbed->len; i++) {
         const struct claim_absorbed *old =
             &g_array_index(table->absorbed, struct claim_absorbed, i);
 
-        if (memcmp(&old->what, what, sizeof(*what)) == 0) {
+        if (memcmp(&old->absorbed, absorbed, sizeof(*absorbed)) == 0) {
             return;
         }
     }
@@ -208,7 +199,6 @@
     g_array_append_val(table->absorbed, new);
 }
 
-/* Lists what was taken over. */
 u_int
 claim_list_absorbed(const struct claim_table *table,
                     wire_absorbed out[WIRE_ABSORBED_MAX])
@@ -216,14 +206,15 @@
     u_int count = MIN(table->absorbed->len, WIRE_ABSORBED_MAX);
 
     for (u_int i = 0; i < count; i++) {
-        out[i] = g_array_index(table->absorbed, struct claim_absorbed, i).what;
+        out[i] =
+            g_array_index(table->absorbed, struct claim_absorbed, i).absorbed;
     }
     return count;
 }
 
-/* Keeps a record handed over; an outcome already known is kept. */
+/* A final outcome is never overwritten. */
 static void
-keep_handed(struct claim_table *table, const wire_handover *handover)
+store_record(struct claim_table *table, const wire_handover *handover)
 {
     struct claim_record *record =
         g_hash_table_lookup(table->records, handover->claim.key);
@@ -239,37 +230,36 @@
     }
 }
 
-/* Takes one record of a stopping entry. `total` 0 means there is none. */
+/* A `total` of 0 means that there are no records to hand over. */
 uint32_t
-claim_absorb(struct claim_table *table, uint64_t wall,
-             const wire_handover *handover)
+claim_handle_handover(struct claim_table *table, uint64_t wall,
+                      const wire_handover *handover)
 {
-    wire_absorbed what = {.entry = handover->sender,
-                          .holder = table->self,
-                          .epoch = handover->epoch,
-                          .before = handover->before};
+    wire_absorbed absorbed = {.entry = handover->sender,
+                              .holder = table->self,
+                              .epoch = handover->epoch,
+                              .before = handover->before};
     uint64_t sender = hash_pair(HASH_KEY, handover->sender, handover->epoch);
-    GHashTable *seen = g_hash_table_lookup(table->partial, &sender);
+    GHashTable *sequences = g_hash_table_lookup(table->received, &sender);
 
-    if (seen == NULL) {
-        seen = g_hash_table_new(NULL, NULL);
-        g_hash_table_insert(table->partial, g_memdup2(&sender, sizeof(sender)),
-                            seen);
+    if (sequences == NULL) {
+        sequences = g_hash_table_new(NULL, NULL);
+        g_hash_table_insert(table->received,
+                            g_memdup2(&sender, sizeof(sender)), sequences);
     }
     for (u_int i = 0; i < handover->absorbed.absorbed_len; i++) {
-        note_absorbed(table, wall, &handover->absorbed.absorbed_val[i]);
+        add_absorbed(table, wall, &handover->absorbed.absorbed_val[i]);
     }
     if (handover->total > 0) {
-        g_hash_table_add(seen, GUINT_TO_POINTER(handover->sequence + 1));
-        keep_handed(table, handover);
+        g_hash_table_add(sequences, GUINT_TO_POINTER(handover->sequence + 1));
+        store_record(table, handover);
     }
-    if (g_hash_table_size(seen) >= handover->total) {
-        note_absorbed(table, wall, &what);
+    if (g_hash_table_size(sequences) >= handover->total) {
+        add_absorbed(table, wall, &absorbed);
     }
-    return g_hash_table_size(seen);
+    return g_hash_table_size(sequences);
 }
 
-/* Says whether an entry is among a key's replicas. */
 static bool
 is_replica(const struct member_set *members, const char *key, uint64_t id)
 {
@@ -285,7 +275,7 @@
     return false;
 }
 
-/* Says whether every replica of a key in one epoch was one in another. */
+/* Every replica of the key in `after` is one in `before` too. */
 static bool
 has_no_new_replica(const struct member_set *before,
                    const struct member_set *after, const char *key)
@@ -302,12 +292,13 @@
     return true;
 }
 
-/* Says whether a receiver must take a key's record over when an entry stops:
- * as a new replica; or as any, when the stopping one had been displaced
- * before, or when there are too few entries for a new one. */
+/* A new replica of the key receives its record. All replicas receive it if the
+ * stopping entry was no replica in `before` any more, or if there are too few
+ * entries for a new replica. */
 bool
-claim_is_owed(const struct member_set *before, const struct member_set *after,
-              const char *key, uint64_t receiver, uint64_t stopping)
+claim_needs_handover(const struct member_set *before,
+                     const struct member_set *after, const char *key,
+                     uint64_t receiver, uint64_t stopping)
 {
     return is_replica(after, key, receiver) &&
            (!is_replica(before, key, receiver) ||
@@ -315,7 +306,6 @@
             has_no_new_replica(before, after, key));
 }
 
-/* Lists the records that another entry must take over. */
 void
 claim_list_handover(const struct claim_table *table,
                     const struct member_set *before,
@@ -329,14 +319,13 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const struct claim_record *record = value;
 
-        if (claim_is_owed(before, after, record->claim.key, receiver,
-                          table->self)) {
+        if (claim_needs_handover(before, after, record->claim.key, receiver,
+                                 table->self)) {
             g_ptr_array_add(out, value);
         }
     }
 }
 
-/* Says whether a record is past its life. */
 static gboolean
 is_expired(gpointer key, gpointer value, gpointer data)
 {
@@ -344,22 +333,21 @@
     const uint64_t *wall = data;
 
     (void)key;
-    return record->claim.deadline + CLAIM_KEEP_MS < *wall;
+    return record->claim.deadline + CLAIM_RETENTION_MS < *wall;
 }
 
-/* Drops expired records. */
 void
 claim_expire(struct claim_table *table, uint64_t wall)
 {
     (void)g_hash_table_foreach_remove(table->records, is_expired, &wall);
-    while (table->absorbed->len > 0 &&
-           g_array_index(table->absorbed, struct claim_absorbed, 0).until <
-               wall) {
+    while (
+        table->absorbed->len > 0 &&
+        g_array_index(table->absorbed, struct claim_absorbed, 0).expires_at <
+            wall) {
         g_array_remove_index(table->absorbed, 0);
     }
 }
 
-/* Counts the records. */
 size_t
 claim_count(const struct claim_table *table)
 {
--- a/claim.h
+++ b/claim.h
@@ -1,8 +1,8 @@
 /**
  * @file claim.h
- * The records of once-only requests at one replica: who was allowed to run a
- * key, and how it ended. Three entries hold each key's record; a request
- * runs only after a majority granted it in one epoch.
+ * Idempotency-Key records of one replica: which coordinator may run a key,
+ * and its outcome. Each key has three replicas; a request runs only after a
+ * majority of them granted it in the same epoch.
  */
 #ifndef RIDGERIDGE_CLAIM_H
 #define RIDGERIDGE_CLAIM_H
@@ -14,84 +14,82 @@
 #include "generated/wire.h"
 #include "member.h"
 
-#define CLAIM_HORIZON_MS 60000U /**< a deadline may lie this far ahead */
-#define CLAIM_KEEP_MS 60000U    /**< a record outlives its deadline so long */
+#define CLAIM_DEADLINE_MAX_MS 60000U /**< from now to a request's deadline */
+#define CLAIM_RETENTION_MS 60000U    /**< of a record, after its deadline */
 
-/** Where a record stands. */
+/** State of a record. */
 enum claim_state {
-    CLAIM_RUNNING,  /**< granted to a coordinator, outcome open */
+    CLAIM_RUNNING,  /**< granted to a coordinator, outcome unknown */
     CLAIM_DONE,     /**< ended; the outcome is final */
-    CLAIM_RELEASED, /**< provably not run; may be granted again */
+    CLAIM_RELEASED, /**< did not run; may be granted again */
 };
 
-/** One record. */
+/** Record of one key. */
 struct claim_record {
-    wire_claim claim;       /**< as granted */
-    enum claim_state state; /**< which */
-    wire_outcome outcome;   /**< DONE and RELEASED; its body is owned */
+    wire_claim claim;       /**< the granted claim */
+    enum claim_state state; /**< current state */
+    wire_outcome outcome;   /**< DONE and RELEASED; owns its body */
 };
 
-/** What was taken over from a stopped entry. */
+/** Completed handover of a stopped entry's records. */
 struct claim_absorbed {
-    wire_absorbed what; /**< whose records, and for which keys */
-    uint64_t until;     /**< deadline, wall ms: records of then are expired */
+    wire_absorbed absorbed; /**< the entry, and the epochs before and after */
+    uint64_t expires_at;    /**< wall ms; its records have expired by then */
 };
 
-/** The records of one replica. */
+/** All records of one replica. */
 struct claim_table {
     GHashTable *records; /**< wire_key to struct claim_record */
     GArray *absorbed;    /**< struct claim_absorbed */
-    wire_absorbed replied[WIRE_ABSORBED_MAX]; /**< borrowed by replies */
-    GHashTable *partial; /**< sender and epoch to sequences received */
-    uint64_t self;       /**< this entry's id */
+    wire_absorbed reply_absorbed[WIRE_ABSORBED_MAX]; /**< lent to replies */
+    GHashTable *received; /**< handover to received sequence numbers */
+    uint64_t self;        /**< this entry's id */
 };
 
-/** Starts an empty table. */
 void claim_open(struct claim_table *table, uint64_t self);
 
-/** Frees a table. */
 void claim_close(struct claim_table *table);
 
 /**
- * Decides about a claim or probe.
- * @param epoch the replica's own; another one fences the claim
- * @param out its outcome is borrowed from the record
+ * Decides a claim or a probe; a claim may add a record.
+ * @param epoch of the replica; a claim of another epoch is rejected
+ * @param out borrows its outcome from the record
  */
-void claim_take(struct claim_table *table, uint64_t epoch,
-                const wire_claim *claim, wire_claim_reply *out);
+void claim_decide(struct claim_table *table, uint64_t epoch,
+                  const wire_claim *claim, wire_claim_reply *out);
 
-/** Notes how a key ended. */
+/** Stores the outcome of a key. */
 void claim_finish(struct claim_table *table, const wire_finish *finish);
 
-/** Takes one record of a stopping entry; says how many came so far. */
-uint32_t claim_absorb(struct claim_table *table, uint64_t wall,
-                      const wire_handover *handover);
-
 /**
- * Lists what a stopping entry owes another one: the records for which
- * claim_is_owed() says so.
+ * Stores one record of a stopping entry.
+ * @return number of its records received so far
  */
+uint32_t claim_handle_handover(struct claim_table *table, uint64_t wall,
+                               const wire_handover *handover);
+
+/** Lists the records that a stopping entry hands over to `receiver`. */
 void claim_list_handover(const struct claim_table *table,
                          const struct member_set *before,
                          const struct member_set *after, uint64_t receiver,
                          GPtrArray *out);
 
-/** Says whether a receiver takes a key's record over when an entry stops. */
-bool claim_is_owed(const struct member_set *before,
-                   const struct member_set *after, const char *key,
-                   uint64_t receiver, uint64_t stopping);
+/** Whether `stopping` hands a key's record over to `receiver`. */
+bool claim_needs_handover(const struct member_set *before,
+                          const struct member_set *after, const char *key,
+                          uint64_t receiver, uint64_t stopping);
 
-/** Writes what was taken over into an array; returns how many. */
+/** Lists the completed handovers; returns their number. */
 u_int claim_list_absorbed(const struct claim_table *table,
                           wire_absorbed out[WIRE_ABSORBED_MAX]);
 
 /** Drops expired records; `wall` is ms since 1970. */
 void claim_expire(struct claim_table *table, uint64_t wall);
 
-/** Number of records held. */
+/** Number of records. */
 size_t claim_count(const struct claim_table *table);
 
-/** Copies an outcome, with its body. */
+/** Copies an outcome with its body; frees the previous body of `to`. */
 void claim_copy_outcome(const wire_outcome *from, wire_outcome *to);
 
 #endif
--- a/control-entries.c
+++ b/control-entries.c
@@ -224,7 +224,7 @@
         core->ended_ago_ms[count] = now - core->epoch_ended_at[count];
         if (have != 0 ? all[count].number <= have
                       : core->ended_ago_ms[count] >
-                            CLAIM_HORIZON_MS + CLAIM_KEEP_MS) {
+                            CLAIM_DEADLINE_MAX_MS + CLAIM_RETENTION_MS) {
             break;
         }
         count++;
--- a/entry-core.c
+++ b/entry-core.c
@@ -142,7 +142,7 @@
         case REQUEST_ABORT:
             act(core, ENTRY_ABORT)->token = from.token;
             break;
-        case REQUEST_ANSWER:
+        case REQUEST_RESPOND:
             action = act(core, ENTRY_ANSWER);
             action->token = from.token;
             action->rule = from.rule;
@@ -159,7 +159,8 @@
 {
     wire_msg msg = {.kind = WIRE_CLAIM_REPLY};
 
-    claim_take(&core->claims, core->epoch, claim, &msg.wire_msg_u.claim_reply);
+    claim_decide(&core->claims, core->epoch, claim,
+                 &msg.wire_msg_u.claim_reply);
     entry_send_peer(core, claim->coordinator, &msg);
 }
 
@@ -206,28 +207,29 @@
         take_claim(core, &msg->wire_msg_u.claim);
         return;
     case WIRE_CLAIM_REPLY:
-        request_take_claim_reply(&core->requests, now,
-                                 &msg->wire_msg_u.claim_reply);
+        request_handle_claim_reply(&core->requests, now,
+                                   &msg->wire_msg_u.claim_reply);
         return;
     case WIRE_FINISH:
         take_finish(core, &msg->wire_msg_u.finish);
         return;
     case WIRE_FINISH_REPLY:
-        request_take_finish_reply(&core->requests, now,
-                                  &msg->wire_msg_u.finish_reply);
+        request_handle_finish_reply(&core->requests, now,
+                                    &msg->wire_msg_u.finish_reply);
         return;
     case WIRE_SLOT_ASK:
         entry_take_slot_ask(core, now, &msg->wire_msg_u.slot_ask);
         return;
     case WIRE_SLOT_GRANT:
-        request_take_grant(&core->requests, now, &msg->wire_msg_u.slot_grant);
+        request_handle_grant(&core->requests, now,
+                             &msg->wire_msg_u.slot_grant);
         return;
     case WIRE_SLOT_REFUSE:
-        request_take_refusal(&core->requests, now,
-                             &msg->wire_msg_u.slot_refuse);
+        request_handle_refusal(&core->requests, now,
+                               &msg->wire_msg_u.slot_refuse);
         return;
     case WIRE_SLOT_WAIT:
-        request_take_wait(&core->requests, now, &msg->wire_msg_u.slot_wait);
+        request_handle_wait(&core->requests, now, &msg->wire_msg_u.slot_wait);
         return;
     case WIRE_SLOT_DONE:
         entry_take_slot_done(core, now, &msg->wire_msg_u.slot_done);
@@ -318,7 +320,7 @@
 entry_core_request(struct entry_core *core, uint64_t now, uint64_t wall,
                    const struct request_spec *spec)
 {
-    request_begin(&core->requests, now, wall, spec);
+    request_start(&core->requests, now, wall, spec);
     settle(core, now, wall);
 }
 
@@ -326,9 +328,9 @@
 void
 entry_core_upstream(struct entry_core *core, uint64_t now, uint64_t wall,
                     uint64_t token, enum gate_result result,
-                    const struct request_reply *reply)
+                    const struct request_response *reply)
 {
-    request_upstream(&core->requests, now, token, result, reply);
+    request_handle_response(&core->requests, now, token, result, reply);
     settle(core, now, wall);
 }
 
--- a/entry-core.h
+++ b/entry-core.h
@@ -151,7 +151,7 @@
 /** An upstream's call ended. */
 void entry_core_upstream(struct entry_core *core, uint64_t now, uint64_t wall,
                          uint64_t token, enum gate_result result,
-                         const struct request_reply *reply);
+                         const struct request_response *reply);
 
 /** A caller went away. */
 void entry_core_cancel(struct entry_core *core, uint64_t now, uint64_t wall,
--- a/entry-gates.c
+++ b/entry-gates.c
@@ -55,9 +55,9 @@
 static void
 send_answers(struct entry_core *core, struct gate *gate)
 {
-    for (guint i = 0; i < gate->answers->len; i++) {
-        const struct gate_answer *a =
-            &g_array_index(gate->answers, struct gate_answer, i);
+    for (guint i = 0; i < gate->replies->len; i++) {
+        const struct gate_reply *a =
+            &g_array_index(gate->replies, struct gate_reply, i);
         wire_msg msg = {.kind = WIRE_SLOT_REFUSE};
 
         if (a->granted) {
@@ -78,7 +78,7 @@
         }
         entry_send_peer(core, a->entry, &msg);
     }
-    g_array_set_size(gate->answers, 0);
+    g_array_set_size(gate->replies, 0);
 }
 
 /* Takes a question; one that is for another gate is left unanswered, and
@@ -90,7 +90,7 @@
     struct gate *gate = find_gate(core, now, ask->service);
 
     if (gate != NULL) {
-        gate_ask(gate, now, ask);
+        gate_acquire(gate, now, ask);
         send_answers(core, gate);
     }
 }
@@ -109,7 +109,7 @@
         struct gate *gate = value;
 
         if (done->service == 0 || done->service == gate->service) {
-            gate_done(gate, now, done);
+            gate_release(gate, now, done);
             send_answers(core, gate);
         }
     }
@@ -137,9 +137,9 @@
     gpointer value;
     GArray *gone = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 
-    g_hash_table_iter_init(&iter, gate->holds);
+    g_hash_table_iter_init(&iter, gate->held_slots);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        const struct gate_hold *hold = value;
+        const struct gate_slot *hold = value;
 
         if (member_find(&core->all, hold->entry) == NULL) {
             g_array_append_val(gone, hold->entry);
--- a/entry-handover.c
+++ b/entry-handover.c
@@ -115,7 +115,7 @@
     wire_msg msg = {.kind = WIRE_HANDOVER_ACK};
     wire_handover_ack *ack = &msg.wire_msg_u.handover_ack;
 
-    ack->received = claim_absorb(&core->claims, wall, handover);
+    ack->received = claim_handle_handover(&core->claims, wall, handover);
     ack->receiver = core->self.id;
     ack->epoch = handover->epoch;
     entry_send_peer(core, handover->sender, &msg);
--- a/entry-http.c
+++ b/entry-http.c
@@ -80,7 +80,7 @@
     spec->deadline = now;
     if (spec->wall_deadline > wall) {
         spec->deadline = now + MIN(spec->wall_deadline - wall,
-                                   (uint64_t)CLAIM_HORIZON_MS * 2);
+                                   (uint64_t)CLAIM_DEADLINE_MAX_MS * 2);
     }
 }
 
--- a/entry-lease.c
+++ b/entry-lease.c
@@ -189,7 +189,7 @@
         return false;
     }
     if (bundle.base == 0) {
-        request_forget_epochs(&core->requests);
+        request_drop_old_epochs(&core->requests);
     }
     bundle_free(&core->bundle);
     bundle_free(&core->before);
--- a/entry-proxy.c
+++ b/entry-proxy.c
@@ -180,11 +180,11 @@
 on_result(void *data)
 {
     struct upstream_event *event = data;
-    struct request_reply reply = {.status = (uint32_t)event->reply->status,
-                                  .content_type = event->reply->content_type,
-                                  .body =
-                                      (const char *)event->reply->body->data,
-                                  .length = event->reply->body->len};
+    struct request_response reply = {
+        .status = (uint32_t)event->reply->status,
+        .content_type = event->reply->content_type,
+        .body = (const char *)event->reply->body->data,
+        .length = event->reply->body->len};
 
     entry_core_upstream(event->entry->core, loop_now(), loop_wall(),
                         event->token, event->result, &reply);
--- a/request-claim.c
+++ b/request-claim.c
@@ -1,6 +1,6 @@
 /*
- * The claim of a key: who its replicas are in the epoch in force and in the
- * earlier ones that still matter, and what their answers add up to.
+ * Claim of a key: quorum reads and grants over its replicas in the current
+ * epoch and in the earlier epochs of the retention window.
  */
 #include <string.h>
 
@@ -8,9 +8,8 @@
 #include "hash.h"
 #include "request-internal.h"
 
-#define ABSORBED_DEPTH 6 /* planned stops in a row that are followed */
+#define ABSORBED_DEPTH_MAX 6 /* chained planned stops */
 
-/* Finds what is known of one replica. */
 static struct request_replica *
 find_replica(struct request *request, uint64_t id)
 {
@@ -22,22 +21,21 @@
     return NULL;
 }
 
-/* Ranks the replicas of a request's key in one epoch. */
 static size_t
-replicas_of(const struct member_set *members, const struct request *request,
-            const struct member *out[MEMBER_KEEPERS])
+rank_replicas(const struct member_set *members, const struct request *request,
+              const struct member *out[MEMBER_KEEPERS])
 {
     return member_keepers(members,
                           hash_bytes(HASH_KEY, request->spec.key, WIRE_KEY),
                           MEMBER_KEEPERS, out);
 }
 
-/* Lists the replicas of all epochs that matter, each once. */
+/* Lists the replicas of all epochs, without duplicates. */
 static void
-list_replicas(const struct request_core *core, struct request *request)
+collect_replicas(const struct request_core *core, struct request *request)
 {
     request->replica_count = 0;
-    request->too_many = false;
+    request->replicas_truncated = false;
     for (size_t e = 0; e < core->epoch_count; e++) {
         const struct request_epoch *epoch = &core->epochs[e];
         const struct member *set[MEMBER_KEEPERS];
@@ -46,15 +44,15 @@
         if (e > 0 && fault_is(FAULT_NO_OLD_EPOCHS)) {
             continue;
         }
-        count = replicas_of(&epoch->members, request, set);
+        count = rank_replicas(&epoch->members, request, set);
         for (size_t i = 0; i < count; i++) {
             struct request_replica *replica;
 
             if (find_replica(request, set[i]->id) != NULL) {
                 continue;
             }
-            if (request->replica_count == REQUEST_REPLICAS) {
-                request->too_many = true;
+            if (request->replica_count == REQUEST_REPLICAS_MAX) {
+                request->replicas_truncated = true;
                 return;
             }
             replica = &request->replicas[request->replica_count++];
@@ -66,7 +64,6 @@
     }
 }
 
-/* Fills the claim that goes to replicas. */
 void
 request_fill_claim(const struct request_core *core,
                    const struct request *request, wire_claim *out)
@@ -80,7 +77,8 @@
     out->deadline = request->spec.wall_deadline;
 }
 
-/* Sends the claim, or a probe, to replicas that have not answered. */
+/* Sends claims to current replicas and probes to earlier ones; only to those
+ * without a reply. */
 void
 request_send_claims(struct request_core *core, struct request *request)
 {
@@ -88,7 +86,7 @@
         const struct request_replica *replica = &request->replicas[i];
         wire_msg *msg;
 
-        if (replica->heard || !replica->alive) {
+        if (replica->replied || !replica->alive) {
             continue;
         }
         msg = request_send(core, replica->id);
@@ -99,7 +97,7 @@
     }
 }
 
-/* Starts the claim, or starts it again in a new epoch. */
+/* Also restarts a claim in a new epoch. */
 void
 request_start_claim(struct request_core *core, uint64_t now,
                     struct request *request)
@@ -107,31 +105,28 @@
     request->state = REQUEST_CLAIMING;
     request->resend_at = now + REQUEST_RESEND_MS;
     g_array_set_size(request->absorbed, 0);
-    list_replicas(core, request);
+    collect_replicas(core, request);
     request_send_claims(core, request);
 }
 
-/* Says whether a replica's own answer shows that it holds nothing. */
 static bool
-is_clean_answer(const struct request_replica *replica)
+has_no_other_claim(const struct request_replica *replica)
 {
-    return replica->heard && (replica->result == WIRE_CLAIM_GRANTED ||
-                              replica->result == WIRE_CLAIM_NONE);
+    return replica->replied && (replica->result == WIRE_CLAIM_GRANTED ||
+                                replica->result == WIRE_CLAIM_NONE);
 }
 
-/* Says whether a replica shows that it granted nothing in an epoch: it holds
- * nothing, or what it holds was granted later. */
+/* No record of another request, or one that was granted after the epoch. */
 static bool
-is_clean_for(const struct request_replica *replica, uint64_t epoch)
+had_no_claim_in(const struct request_replica *replica, uint64_t epoch)
 {
-    return is_clean_answer(replica) ||
-           (replica->heard && replica->result == WIRE_CLAIM_HELD &&
+    return has_no_other_claim(replica) ||
+           (replica->replied && replica->result == WIRE_CLAIM_HELD &&
             replica->holder_epoch > epoch);
 }
 
-/* Finds the members of an epoch that is still known. */
 static const struct member_set *
-members_of(const struct request_core *core, uint64_t epoch)
+find_members(const struct request_core *core, uint64_t epoch)
 {
     for (size_t e = 0; e < core->epoch_count; e++) {
         if (core->epochs[e].members.epoch == epoch) {
@@ -141,52 +136,52 @@
     return NULL;
 }
 
-/* Says whether a handover covered this key. */
 static bool
-is_covered(const struct request_core *core, const struct request *request,
-           const wire_absorbed *a)
+handover_covers_key(const struct request_core *core,
+                    const struct request *request, const wire_absorbed *a)
 {
-    const struct member_set *before = members_of(core, a->before);
-    const struct member_set *after = members_of(core, a->epoch);
+    const struct member_set *before = find_members(core, a->before);
+    const struct member_set *after = find_members(core, a->epoch);
 
     return before != NULL && after != NULL &&
-           claim_is_owed(before, after, request->spec.key, a->holder,
-                         a->entry);
+           claim_needs_handover(before, after, request->spec.key, a->holder,
+                                a->entry);
 }
 
-/* Says whether the records of a stopped entry for this key were taken over
- * by a clean replica, or by one that stopped in turn and was taken over. */
+/* A stopped entry handed its records of this key over to a replica without
+ * another claim, directly or through further stopped entries. */
 static bool
-is_absorbed(const struct request_core *core, struct request *request,
-            uint64_t id, int depth)
+is_taken_over(const struct request_core *core, struct request *request,
+              uint64_t id, int depth)
 {
     for (guint i = 0; i < request->absorbed->len; i++) {
         const wire_absorbed *a =
             &g_array_index(request->absorbed, wire_absorbed, i);
         const struct request_replica *holder;
 
-        if (a->entry != id || !is_covered(core, request, a)) {
+        if (a->entry != id || !handover_covers_key(core, request, a)) {
             continue;
         }
         holder = find_replica(request, a->holder);
-        if ((holder != NULL && is_clean_answer(holder)) ||
-            (depth > 0 && is_absorbed(core, request, a->holder, depth - 1))) {
+        if ((holder != NULL && has_no_other_claim(holder)) ||
+            (depth > 0 &&
+             is_taken_over(core, request, a->holder, depth - 1))) {
             return true;
         }
     }
     return false;
 }
 
-/* Counts, for one epoch's set, who is clean. */
+/* Counts the replicas of one epoch without another claim. */
 static void
-count_set(const struct request_core *core, const struct request *request,
-          size_t epoch, size_t *size, size_t *clean)
+count_unclaimed(const struct request_core *core, const struct request *request,
+                size_t epoch, size_t *size, size_t *unclaimed)
 {
     const struct member *set[MEMBER_KEEPERS];
     uint64_t number = core->epochs[epoch].members.epoch;
 
-    *size = replicas_of(&core->epochs[epoch].members, request, set);
-    *clean = 0;
+    *size = rank_replicas(&core->epochs[epoch].members, request, set);
+    *unclaimed = 0;
     for (size_t i = 0; i < *size; i++) {
         const struct request_replica *replica =
             find_replica((struct request *)request, set[i]->id);
@@ -194,45 +189,45 @@
         if (replica == NULL) {
             continue;
         }
-        if ((epoch == 0 ? is_clean_answer(replica)
-                        : is_clean_for(replica, number)) ||
-            is_absorbed(core, (struct request *)request, set[i]->id,
-                        ABSORBED_DEPTH)) {
-            (*clean)++;
+        if ((epoch == 0 ? has_no_other_claim(replica)
+                        : had_no_claim_in(replica, number)) ||
+            is_taken_over(core, (struct request *)request, set[i]->id,
+                          ABSORBED_DEPTH_MAX)) {
+            (*unclaimed)++;
         }
     }
 }
 
-/* Says whether a majority granted it in the epoch in force. */
+/* Counts grants of the current epoch only. */
 static bool
 has_majority(const struct request_core *core, const struct request *request)
 {
     const struct member *set[MEMBER_KEEPERS];
-    size_t size = replicas_of(&core->epochs[0].members, request, set);
+    size_t size = rank_replicas(&core->epochs[0].members, request, set);
     size_t granted = 0;
 
     for (size_t i = 0; i < request->replica_count; i++) {
         const struct request_replica *replica = &request->replicas[i];
 
-        granted += replica->current && replica->heard &&
+        granted += replica->current && replica->replied &&
                    replica->result == WIRE_CLAIM_GRANTED;
     }
     return fault_is(FAULT_NO_MAJORITY) ? granted > 0 : granted > size / 2;
 }
 
-/* Says whether a replica of one epoch's set reported another holder. */
+/* A replica of one epoch reported another holder. */
 static bool
 is_held_in(const struct request_core *core, const struct request *request,
            size_t epoch)
 {
     const struct member *set[MEMBER_KEEPERS];
-    size_t size = replicas_of(&core->epochs[epoch].members, request, set);
+    size_t size = rank_replicas(&core->epochs[epoch].members, request, set);
 
     for (size_t i = 0; i < size; i++) {
         const struct request_replica *replica =
             find_replica((struct request *)request, set[i]->id);
 
-        if (replica != NULL && replica->heard &&
+        if (replica != NULL && replica->replied &&
             replica->result == WIRE_CLAIM_HELD) {
             return true;
         }
@@ -240,61 +235,61 @@
     return false;
 }
 
-/* Says whether a replica of any epoch that is alive has not answered. */
 static bool
-is_any_open(const struct request *request)
+is_reply_missing(const struct request *request)
 {
     for (size_t i = 0; i < request->replica_count; i++) {
-        if (request->replicas[i].alive && !request->replicas[i].heard) {
+        if (request->replicas[i].alive && !request->replicas[i].replied) {
             return true;
         }
     }
     return false;
 }
 
-/* Judges the earlier epochs: all clean, some open, held, or one lost. */
+/* Each earlier epoch needs a majority of replicas without a claim. */
 static enum claim_verdict
-judge_old(const struct request_core *core, const struct request *request)
+evaluate_old_epochs(const struct request_core *core,
+                    const struct request *request)
 {
-    enum claim_verdict verdict = VERDICT_OURS;
+    enum claim_verdict verdict = VERDICT_GRANTED;
 
     if (fault_is(FAULT_NO_OLD_EPOCHS)) {
         return verdict;
     }
-    if (core->history_cut || request->too_many) {
-        return VERDICT_OLD_LOST;
+    if (core->epochs_truncated || request->replicas_truncated) {
+        return VERDICT_REPLICAS_LOST;
     }
     for (size_t e = 1; e < core->epoch_count; e++) {
         size_t size;
-        size_t clean;
+        size_t unclaimed;
 
-        count_set(core, request, e, &size, &clean);
-        if (clean > size / 2 || size == 0) {
+        count_unclaimed(core, request, e, &size, &unclaimed);
+        if (unclaimed > size / 2 || size == 0) {
             continue;
         }
-        /* One that still answers may know the outcome, or have taken over
-         * the records of one that stopped. */
-        if (!is_any_open(request)) {
+        /* A pending replica may have the outcome, or the records of a
+         * stopped entry. */
+        if (!is_reply_missing(request)) {
             return is_held_in(core, request, e) ? VERDICT_HELD
-                                                : VERDICT_OLD_LOST;
+                                                : VERDICT_REPLICAS_LOST;
         }
-        verdict = VERDICT_OPEN;
+        verdict = VERDICT_PENDING;
     }
     return verdict;
 }
 
-/* Adds the answers up. */
 enum claim_verdict
-request_judge(const struct request_core *core, const struct request *request)
+request_evaluate_claim(const struct request_core *core,
+                       const struct request *request)
 {
     bool held = false;
-    size_t open = 0;
+    size_t pending = 0;
 
     for (size_t i = 0; i < request->replica_count; i++) {
         const struct request_replica *replica = &request->replicas[i];
 
-        if (!replica->heard) {
-            open += replica->alive && replica->current;
+        if (!replica->replied) {
+            pending += replica->alive && replica->current;
             continue;
         }
         if (replica->result == WIRE_CLAIM_CONFLICT) {
@@ -305,21 +300,21 @@
     if (request->outcome.reason != 0) {
         return VERDICT_DONE;
     }
-    /* A minority that another holds has lost the race, or belongs to an
-     * earlier epoch; then that epoch's own set tells. */
+    /* With a majority here, a holder has only a minority, or its grant is of
+     * an earlier epoch, whose replicas decide. */
     if (has_majority(core, request)) {
-        return judge_old(core, request);
+        return evaluate_old_epochs(core, request);
     }
-    if (held && open == 0) {
+    if (held && pending == 0) {
         return VERDICT_HELD;
     }
-    return VERDICT_OPEN;
+    return VERDICT_PENDING;
 }
 
-/* Says whether all that was heard proves that the key has not run. */
+/* The replies prove that no request with this key has run. */
 bool
-request_is_clean(const struct request_core *core,
-                 const struct request *request)
+request_never_ran(const struct request_core *core,
+                  const struct request *request)
 {
     if (!request->spec.keyed) {
         return true;
@@ -327,31 +322,32 @@
     for (size_t i = 0; i < request->replica_count; i++) {
         const struct request_replica *replica = &request->replicas[i];
 
-        if (replica->heard && !is_clean_answer(replica) &&
+        if (replica->replied && !has_no_other_claim(replica) &&
             replica->result != WIRE_CLAIM_EPOCH) {
             return false;
         }
     }
     for (size_t e = 0; e < core->epoch_count; e++) {
         size_t size;
-        size_t clean;
+        size_t unclaimed;
 
-        count_set(core, request, e, &size, &clean);
-        if (clean <= size / 2) {
+        count_unclaimed(core, request, e, &size, &unclaimed);
+        if (unclaimed <= size / 2) {
             return false;
         }
     }
-    return core->epoch_count > 0 && !core->history_cut && !request->too_many;
+    return core->epoch_count > 0 && !core->epochs_truncated &&
+           !request->replicas_truncated;
 }
 
-/* Finds a holder that is not a member of the epoch in force any more. */
+/* A holder is no longer a member of the current epoch. */
 static bool
 is_holder_gone(const struct request_core *core, const struct request *request)
 {
     for (size_t i = 0; i < request->replica_count; i++) {
         const struct request_replica *replica = &request->replicas[i];
 
-        if (replica->heard && replica->result == WIRE_CLAIM_HELD &&
+        if (replica->replied && replica->result == WIRE_CLAIM_HELD &&
             member_find(&core->alive, replica->holder) == NULL) {
             return true;
         }
@@ -359,21 +355,20 @@
     return false;
 }
 
-/* Remembers who holds the key. */
 static void
-note_holder(struct request *request)
+record_holder(struct request *request)
 {
     for (size_t i = 0; i < request->replica_count; i++) {
         const struct request_replica *replica = &request->replicas[i];
 
-        if (replica->heard && replica->result == WIRE_CLAIM_HELD) {
+        if (replica->replied && replica->result == WIRE_CLAIM_HELD) {
             request->holder = replica->holder;
             request->holder_token = replica->holder_token;
         }
     }
 }
 
-/* Gives back grants, and waits for the one that holds the key. */
+/* Releases the grants of this request and waits for the holder. */
 static void
 wait_for_holder(struct request_core *core, uint64_t now,
                 struct request *request)
@@ -383,7 +378,7 @@
         wire_finish *finish;
         wire_msg *msg;
 
-        if (!replica->heard || !replica->current ||
+        if (!replica->replied || !replica->current ||
             replica->result != WIRE_CLAIM_GRANTED) {
             continue;
         }
@@ -395,23 +390,23 @@
         finish->outcome.reason = RULE_KEY_RUNNING;
         finish->outcome.retry_ms = REQUEST_RESEND_MS;
     }
-    note_holder(request);
+    record_holder(request);
     request->state = REQUEST_WAITING;
     request->resend_at = now + REQUEST_RESEND_MS;
 }
 
-/* Says whether another contender goes first: any, when this one was granted
- * nothing; else one with a smaller id, so that of several one stays. */
+/* Tie break between contenders: a request without a grant yields to any, else
+ * to a holder with a lower (entry, token). */
 static bool
-must_give_way(const struct request_core *core, const struct request *request)
+must_yield(const struct request_core *core, const struct request *request)
 {
     bool granted = false;
-    bool first = true;
+    bool has_lowest_id = true;
 
     for (size_t i = 0; i < request->replica_count; i++) {
         const struct request_replica *replica = &request->replicas[i];
 
-        if (!replica->heard) {
+        if (!replica->replied) {
             continue;
         }
         granted = granted || replica->result == WIRE_CLAIM_GRANTED;
@@ -419,47 +414,47 @@
             (replica->holder < core->self ||
              (replica->holder == core->self &&
               replica->holder_token < request->spec.token))) {
-            first = false;
+            has_lowest_id = false;
         }
     }
-    return !granted || !first;
+    return !granted || !has_lowest_id;
 }
 
-/* Gives way, or asks those again that are held by contenders who will. */
+/* Yields, or asks the replicas again that other contenders will release. */
 static void
-contend(struct request_core *core, uint64_t now, struct request *request)
+resolve_contention(struct request_core *core, uint64_t now,
+                   struct request *request)
 {
-    if (must_give_way(core, request)) {
+    if (must_yield(core, request)) {
         wait_for_holder(core, now, request);
         return;
     }
     for (size_t i = 0; i < request->replica_count; i++) {
         struct request_replica *replica = &request->replicas[i];
 
-        if (replica->heard && replica->result == WIRE_CLAIM_HELD) {
-            replica->heard = false;
+        if (replica->replied && replica->result == WIRE_CLAIM_HELD) {
+            replica->replied = false;
         }
     }
 }
 
-/* Goes on as the answers allow. */
 void
-request_act_on_claim(struct request_core *core, uint64_t now,
-                     struct request *request)
+request_advance_claim(struct request_core *core, uint64_t now,
+                      struct request *request)
 {
-    switch (request_judge(core, request)) {
-    case VERDICT_OPEN:
+    switch (request_evaluate_claim(core, request)) {
+    case VERDICT_PENDING:
         return;
-    case VERDICT_OURS:
+    case VERDICT_GRANTED:
         if (request->state != REQUEST_CLAIMING) {
             return;
         }
-        if (request->holder != 0 && request->released != 0) {
+        if (request->holder != 0 && request->release_reason != 0) {
             request_end(core, now, request, WIRE_OUTCOME_NOT_RUN,
-                        request->released, request->released_retry_ms);
+                        request->release_reason, request->release_retry_ms);
             return;
         }
-        request_ask_gate(core, now, request);
+        request_acquire_slot(core, now, request);
         return;
     case VERDICT_DONE:
         request_end(core, now, request, request->outcome.kind, RULE_KEY_DONE,
@@ -469,27 +464,27 @@
         request_end(core, now, request, WIRE_OUTCOME_NOT_RUN,
                     RULE_KEY_CONFLICT, 0);
         return;
-    case VERDICT_OLD_LOST:
+    case VERDICT_REPLICAS_LOST:
         request_end(core, now, request, WIRE_OUTCOME_UNKNOWN, RULE_OLD_LOST,
-                    CLAIM_HORIZON_MS);
+                    CLAIM_DEADLINE_MAX_MS);
         return;
     case VERDICT_HELD:
         if (is_holder_gone(core, request)) {
             request_end(core, now, request, WIRE_OUTCOME_UNKNOWN,
-                        RULE_COORDINATOR_LOST, CLAIM_HORIZON_MS);
+                        RULE_COORDINATOR_LOST, CLAIM_DEADLINE_MAX_MS);
         }
         else if (request->state == REQUEST_CLAIMING) {
-            contend(core, now, request);
+            resolve_contention(core, now, request);
         }
         return;
     }
 }
 
-/* Takes the outcome of a record. A record that was released holds nothing;
- * only the release by the holder that is waited for says something. */
+/* Applies a record's outcome. A released record counts as no record; its
+ * reason matters only if the awaited holder released it. */
 static void
-take_done(struct request *request, struct request_replica *replica,
-          const wire_claim_reply *reply)
+handle_done(struct request *request, struct request_replica *replica,
+            const wire_claim_reply *reply)
 {
     if (reply->outcome->kind != WIRE_OUTCOME_NOT_RUN) {
         claim_copy_outcome(reply->outcome, &request->outcome);
@@ -497,36 +492,34 @@
         return;
     }
     replica->result = WIRE_CLAIM_NONE;
-    /* One that only gave way was not refused. */
+    /* KEY_RUNNING: the holder yielded and was not refused. */
     if (request->state == REQUEST_WAITING &&
         reply->outcome->reason != RULE_KEY_RUNNING &&
         reply->holder == request->holder &&
         reply->holder_token == request->holder_token) {
-        request->released = (enum ring_rule)reply->outcome->reason;
-        request->released_retry_ms = reply->outcome->retry_ms;
+        request->release_reason = (enum ring_rule)reply->outcome->reason;
+        request->release_retry_ms = reply->outcome->retry_ms;
     }
 }
 
-/* Says whether every current replica that is alive answered, and none of
- * them is held. */
+/* Every live current replica replied, and none is held. */
 static bool
-is_free_again(const struct request *request)
+is_released(const struct request *request)
 {
     for (size_t i = 0; i < request->replica_count; i++) {
         const struct request_replica *replica = &request->replicas[i];
 
         if (replica->alive && replica->current &&
-            (!replica->heard || replica->result == WIRE_CLAIM_HELD)) {
+            (!replica->replied || replica->result == WIRE_CLAIM_HELD)) {
             return false;
         }
     }
     return true;
 }
 
-/* Takes what one replica said. */
 void
-request_take_claim_reply(struct request_core *core, uint64_t now,
-                         const wire_claim_reply *reply)
+request_handle_claim_reply(struct request_core *core, uint64_t now,
+                           const wire_claim_reply *reply)
 {
     struct request *request =
         g_hash_table_lookup(core->requests, &reply->token);
@@ -544,7 +537,7 @@
          replica->current)) {
         return;
     }
-    replica->heard = true;
+    replica->replied = true;
     replica->result = reply->result;
     replica->holder = reply->holder;
     replica->holder_token = reply->holder_token;
@@ -552,20 +545,19 @@
     g_array_append_vals(request->absorbed, reply->absorbed.absorbed_val,
                         reply->absorbed.absorbed_len);
     if (reply->result == WIRE_CLAIM_DONE && reply->outcome != NULL) {
-        take_done(request, replica, reply);
+        handle_done(request, replica, reply);
     }
     if (request->state == REQUEST_WAITING && request->outcome.reason == 0 &&
-        is_free_again(request)) {
-        /* Claimed once more, so that what is said next is surely true. */
+        is_released(request)) {
+        /* The replies may be outdated: claim again before a decision. */
         request->claim_deadline =
-            MIN(request->spec.deadline, now + REQUEST_CLAIM_MS);
+            MIN(request->spec.deadline, now + REQUEST_CLAIM_TIMEOUT_MS);
         request_start_claim(core, now, request);
         return;
     }
-    request_act_on_claim(core, now, request);
+    request_advance_claim(core, now, request);
 }
 
-/* Lets time pass for a claim, or for one that waits for another. */
 void
 request_tick_claim(struct request_core *core, uint64_t now,
                    struct request *request)
@@ -576,13 +568,13 @@
     request->resend_at = now + REQUEST_RESEND_MS;
     if (request->state == REQUEST_WAITING) {
         for (size_t i = 0; i < request->replica_count; i++) {
-            request->replicas[i].heard = false;
+            request->replicas[i].replied = false;
         }
     }
     else if (now >= request->claim_deadline) {
         request_end(core, now, request,
-                    request_is_clean(core, request) ? WIRE_OUTCOME_NOT_RUN
-                                                    : WIRE_OUTCOME_UNKNOWN,
+                    request_never_ran(core, request) ? WIRE_OUTCOME_NOT_RUN
+                                                     : WIRE_OUTCOME_UNKNOWN,
                     RULE_NO_MAJORITY, 1000);
         return;
     }
--- a/request-epochs.c
+++ b/request-epochs.c
@@ -1,6 +1,5 @@
 /*
- * The epochs whose records may still matter to a request: the one in force
- * and those that ended within the window. Decides nothing about keys.
+ * The current epoch and the earlier ones whose key records have not expired.
  */
 #include <string.h>
 
@@ -11,14 +10,13 @@
 request_expire_epochs(struct request_core *core, uint64_t now)
 {
     while (core->epoch_count > 1 &&
-           now >= core->epochs[core->epoch_count - 1].until) {
+           now >= core->epochs[core->epoch_count - 1].expires_at) {
         core->epoch_count--;
         member_set_clear(&core->epochs[core->epoch_count].members);
-        core->history_cut = false;
+        core->epochs_truncated = false;
     }
 }
 
-/* Starts claims again in the new epoch. */
 static void
 restart_claims(struct request_core *core, uint64_t now)
 {
@@ -38,27 +36,27 @@
     g_list_free(all);
 }
 
-/* Puts the epochs that are known behind those just taken. */
+/* Appends the epochs that are older than the received ones. */
 static size_t
-keep_known(struct request_core *core, struct request_epoch *next, size_t count,
-           uint64_t oldest, uint64_t now)
+append_known(struct request_core *core, struct request_epoch *next,
+             size_t count, uint64_t oldest, uint64_t now)
 {
     for (size_t i = 0; i < core->epoch_count; i++) {
-        struct request_epoch *known = &core->epochs[i];
+        struct request_epoch *old = &core->epochs[i];
 
-        if (known->members.epoch >= oldest || count == REQUEST_EPOCHS) {
-            member_set_clear(&known->members);
+        if (old->members.epoch >= oldest || count == REQUEST_EPOCHS_MAX) {
+            member_set_clear(&old->members);
             continue;
         }
         if (i == 0) {
-            known->until = now + CLAIM_HORIZON_MS + CLAIM_KEEP_MS;
+            old->expires_at = now + CLAIM_DEADLINE_MAX_MS + CLAIM_RETENTION_MS;
         }
-        next[count++] = *known;
+        next[count++] = *old;
     }
     return count;
 }
 
-/* Says whether an epoch that still matters is missing from the list. */
+/* An unexpired epoch is missing from the list. */
 static bool
 has_gap(const struct request_core *core, uint64_t now)
 {
@@ -70,20 +68,20 @@
             return true;
         }
     }
-    return core->epoch_count == REQUEST_EPOCHS && last->members.epoch > 1 &&
-           last->until > now;
+    return core->epoch_count == REQUEST_EPOCHS_MAX &&
+           last->members.epoch > 1 && last->expires_at > now;
 }
 
-/* Takes the epochs; one that ended matters until its records expired. */
+/* An ended epoch expires with the last of its records. */
 void
 request_set_epochs(struct request_core *core, uint64_t now,
                    const struct member_set *alive,
                    const struct member_set *epochs, const uint64_t *ended_ago,
                    size_t count)
 {
-    struct request_epoch next[REQUEST_EPOCHS] = {0};
-    uint64_t window = CLAIM_HORIZON_MS + CLAIM_KEEP_MS;
-    size_t kept = MIN(count, REQUEST_EPOCHS);
+    struct request_epoch next[REQUEST_EPOCHS_MAX] = {0};
+    uint64_t window = CLAIM_DEADLINE_MAX_MS + CLAIM_RETENTION_MS;
+    size_t kept = MIN(count, REQUEST_EPOCHS_MAX);
 
     if (count == 0 || (core->epoch_count > 0 &&
                        epochs[0].epoch <= core->epochs[0].members.epoch)) {
@@ -92,27 +90,26 @@
     for (size_t i = 0; i < kept; i++) {
         member_set_assign(&next[i].members, epochs[i].epoch, epochs[i].items,
                           epochs[i].count);
-        next[i].until = now + window;
+        next[i].expires_at = now + window;
         if (i > 0) {
-            next[i].until -= MIN(window, ended_ago[i]);
+            next[i].expires_at -= MIN(window, ended_ago[i]);
         }
     }
     member_set_assign(&core->alive, alive->epoch, alive->items, alive->count);
-    kept = keep_known(core, next, kept, epochs[kept - 1].epoch, now);
+    kept = append_known(core, next, kept, epochs[kept - 1].epoch, now);
     memcpy(core->epochs, next, sizeof(next));
     core->epoch_count = kept;
     request_expire_epochs(core, now);
-    core->history_cut = has_gap(core, now);
+    core->epochs_truncated = has_gap(core, now);
     restart_claims(core, now);
 }
 
-/* Forgets the epochs before the one in force. */
 void
-request_forget_epochs(struct request_core *core)
+request_drop_old_epochs(struct request_core *core)
 {
     for (size_t i = 1; i < core->epoch_count; i++) {
         member_set_clear(&core->epochs[i].members);
     }
     core->epoch_count = MIN(core->epoch_count, 1);
-    core->history_cut = false;
+    core->epochs_truncated = false;
 }
--- a/request.c
+++ b/request.c
@@ -1,4 +1,4 @@
-/* The life of a request at its coordinator, from question to answer. */
+/* Request state machine of the coordinator. */
 #include "request.h"
 
 #include <string.h>
@@ -7,10 +7,9 @@
 #include "hash.h"
 #include "request-internal.h"
 
-#define RETRY_BUDGET_MAX 10.0
-#define NO_LEASE_RETRY_MS 1000U
+#define RETRY_BUDGET_MAX 10.0 /* retries */
+#define RETRY_AFTER_MS 1000U
 
-/* Frees a request. */
 static void
 free_request(gpointer data)
 {
@@ -21,7 +20,6 @@
     g_free(request);
 }
 
-/* Starts a coordinator. */
 void
 request_open(struct request_core *core, uint64_t self,
              struct counters *counters, struct ring *ring)
@@ -37,7 +35,6 @@
     core->retry_budget = RETRY_BUDGET_MAX;
 }
 
-/* Frees a coordinator. */
 void
 request_close(struct request_core *core)
 {
@@ -58,9 +55,9 @@
     member_set_clear(&core->alive);
 }
 
-/* Adds an action. */
 static struct request_action *
-act(struct request_core *core, enum request_action_kind kind, uint64_t token)
+add_action(struct request_core *core, enum request_action_kind kind,
+           uint64_t token)
 {
     struct request_action action = {.kind = kind, .token = token};
 
@@ -69,19 +66,18 @@
                           core->actions->len - 1);
 }
 
-/* Adds a message. */
 wire_msg *
 request_send(struct request_core *core, uint64_t peer)
 {
-    struct request_action *action = act(core, REQUEST_SEND, 0);
+    struct request_action *action = add_action(core, REQUEST_SEND, 0);
 
     action->peer = peer;
     return &action->msg;
 }
 
-/* Keeps the decision for explain. */
+/* Records the decision in the ring for "explain". */
 static void
-note_decision(struct request_core *core, const struct request *request)
+record_decision(struct request_core *core, const struct request *request)
 {
     struct ring_record record = {
         .at = request->spec.wall_deadline,
@@ -103,9 +99,8 @@
     }
 }
 
-/* Counts how a request ended. */
 static void
-count_end(struct request_core *core, const struct request *request)
+count_outcome(struct request_core *core, const struct request *request)
 {
     enum counter_id id = COUNTER_REQUESTS_UNKNOWN;
 
@@ -125,41 +120,41 @@
     }
 }
 
-/* Answers the caller, once. */
+/* Responds at most once. */
 static void
-deliver(struct request_core *core, struct request *request)
+respond(struct request_core *core, struct request *request)
 {
     struct request_action *action;
 
-    if (request->delivered) {
+    if (request->responded) {
         return;
     }
-    request->delivered = true;
-    action = act(core, REQUEST_ANSWER, request->spec.token);
+    request->responded = true;
+    action = add_action(core, REQUEST_RESPOND, request->spec.token);
     action->outcome = request->outcome;
     action->rule = request->rule;
-    count_end(core, request);
-    note_decision(core, request);
+    count_outcome(core, request);
+    record_decision(core, request);
 }
 
-/* Answers, if nobody has, and forgets the request. */
+/* Responds if still due; request_clear_actions() frees the request. */
 static void
-retire(struct request_core *core, struct request *request)
+remove_request(struct request_core *core, struct request *request)
 {
-    deliver(core, request);
+    respond(core, request);
     request->state = REQUEST_ENDED;
     g_hash_table_remove(core->requests, &request->spec.token);
     g_hash_table_remove(core->by_slot, &request->slot_token);
     g_ptr_array_add(core->ended, request);
 }
 
-/* What the replicas must remember: a request that no upstream was given is
- * released, whatever its caller was told about the key. */
+/* Outcome for the replicas: a key whose request was not dispatched is
+ * released, whatever the response said. */
 static void
-fill_recorded(const struct request *request, wire_outcome *out)
+fill_stored_outcome(const struct request *request, wire_outcome *out)
 {
     *out = request->outcome;
-    if (!request->ran && request->rule != RULE_KEY_DONE) {
+    if (!request->may_have_run && request->rule != RULE_KEY_DONE) {
         out->kind = WIRE_OUTCOME_NOT_RUN;
     }
 }
@@ -173,23 +168,22 @@
         wire_finish *finish;
         wire_msg *msg;
 
-        if (replica->finished || !replica->alive) {
+        if (replica->stored || !replica->alive) {
             continue;
         }
         msg = request_send(core, replica->id);
         msg->kind = WIRE_FINISH;
         finish = &msg->wire_msg_u.finish;
         request_fill_claim(core, request, &finish->claim);
-        fill_recorded(request, &finish->outcome);
+        fill_stored_outcome(request, &finish->outcome);
     }
 }
 
-/* Says whether so many of the replicas stored the outcome: a majority, or
- * all that are alive. */
+/* A majority of the replicas, or all that are alive, confirmed the outcome. */
 static bool
-is_finished(const struct request *request, bool all)
+is_stored(const struct request *request, bool all)
 {
-    size_t finished = 0;
+    size_t stored = 0;
     size_t current = 0;
     size_t alive = 0;
 
@@ -198,32 +192,33 @@
 
         current += replica->current;
         alive += replica->current && replica->alive;
-        finished += replica->current && replica->finished;
+        stored += replica->current && replica->stored;
     }
-    return all ? finished >= alive : finished > current / 2;
+    return all ? stored >= alive : stored > current / 2;
 }
 
-/* Records the outcome at the replicas. Only a whole answer waits for that,
- * so that a repeat finds it; everything else leaves at once. */
+/* Stores the outcome at the replicas. Only an upstream's response waits for a
+ * majority, so that a repeated request finds it; other outcomes are sent to
+ * the caller immediately. */
 static void
-finish(struct request_core *core, uint64_t now, struct request *request)
+finish_request(struct request_core *core, uint64_t now,
+               struct request *request)
 {
     bool answered = request->outcome.kind == WIRE_OUTCOME_ANSWERED;
 
     if (!request->spec.keyed || request->replica_count == 0) {
-        retire(core, request);
+        remove_request(core, request);
         return;
     }
     send_finish(core, request);
     if (!answered || request->rule == RULE_KEY_DONE) {
-        deliver(core, request);
+        respond(core, request);
     }
     request->state = REQUEST_FINISHING;
     request->resend_at = now + REQUEST_RESEND_MS;
-    request->finish_deadline = now + REQUEST_FINISH_MS;
+    request->finish_deadline = now + REQUEST_FINISH_TIMEOUT_MS;
 }
 
-/* Ends a request with an outcome. */
 void
 request_end(struct request_core *core, uint64_t now, struct request *request,
             wire_outcome_kind kind, enum ring_rule rule, uint32_t retry_ms)
@@ -234,13 +229,12 @@
     if (rule != RULE_KEY_DONE) {
         request->outcome.reason = rule;
     }
-    finish(core, now, request);
+    finish_request(core, now, request);
 }
 
-/* The entry that gates a service, or stands in for its gate; 0 when there
- * is none of that rank. */
+/* Returns the gate of a service, or a backup gate; 0 if there is none. */
 static uint64_t
-gate_of(const struct request_core *core, uint64_t service, unsigned rank)
+find_gate(const struct request_core *core, uint64_t service, unsigned rank)
 {
     const struct member *set[MEMBER_KEEPERS];
 
@@ -252,14 +246,13 @@
     return set[rank]->id;
 }
 
-/* Milliseconds left until a deadline. */
 static uint32_t
-left(uint64_t now, uint64_t deadline)
+remaining_ms(uint64_t now, uint64_t deadline)
 {
     return now >= deadline ? 0 : (uint32_t)MIN(deadline - now, G_MAXUINT32);
 }
 
-/* Sends a question to the gate; `held` tells of a slot in use instead. */
+/* Requests a slot; `held` registers the slot in use instead. */
 static void
 send_slot_ask(struct request_core *core, uint64_t now, struct request *request,
               bool held)
@@ -272,19 +265,18 @@
     ask->token = request->slot_token;
     ask->entry = core->self;
     ask->subject = request->spec.subject;
-    ask->budget_ms = left(now, request->spec.deadline);
+    ask->budget_ms = remaining_ms(now, request->spec.deadline);
     ask->address = held ? request->address : 0;
     ask->port = held ? request->port : 0;
 }
 
-/* Asks the gate for a slot. */
 void
-request_ask_gate(struct request_core *core, uint64_t now,
-                 struct request *request)
+request_acquire_slot(struct request_core *core, uint64_t now,
+                     struct request *request)
 {
     request->state = REQUEST_QUEUED;
-    request->gate = gate_of(core, request->spec.service, request->gate_rank);
-    request->gate_asked = 1;
+    request->gate = find_gate(core, request->spec.service, request->gate_rank);
+    request->gate_attempts = 1;
     g_hash_table_remove(core->by_slot, &request->slot_token);
     request->slot_token = ++core->next_slot_token;
     g_hash_table_insert(core->by_slot, &request->slot_token, request);
@@ -292,11 +284,10 @@
     send_slot_ask(core, now, request, false);
 }
 
-/* Gives a slot back to the gate. */
 static void
 send_slot_done(struct request_core *core, uint64_t gate, uint64_t slot_token,
                const struct request *request, enum gate_result result,
-               uint32_t took_ms)
+               uint32_t latency_ms)
 {
     wire_msg *msg = request_send(core, gate);
     wire_slot_done *done = &msg->wire_msg_u.slot_done;
@@ -305,7 +296,7 @@
     done->entry = core->self;
     done->token = slot_token;
     done->result = result;
-    done->took_ms = took_ms;
+    done->took_ms = latency_ms;
     if (request != NULL) {
         done->service = request->spec.service;
         done->address = request->address;
@@ -313,26 +304,26 @@
     }
 }
 
-/* A caller asks. */
 void
-request_begin(struct request_core *core, uint64_t now, uint64_t wall,
+request_start(struct request_core *core, uint64_t now, uint64_t wall,
               const struct request_spec *spec)
 {
     struct request *request = g_new0(struct request, 1);
 
     request->spec = *spec;
     request->absorbed = g_array_new(FALSE, FALSE, sizeof(wire_absorbed));
-    request->claim_deadline = MIN(spec->deadline, now + REQUEST_CLAIM_MS);
+    request->claim_deadline =
+        MIN(spec->deadline, now + REQUEST_CLAIM_TIMEOUT_MS);
     g_hash_table_insert(core->requests, &request->spec.token, request);
     counter_add(core->counters, COUNTER_REQUESTS, 1);
     core->retry_budget = MIN(
         RETRY_BUDGET_MAX, core->retry_budget + REQUEST_RETRY_PERCENT / 100.0);
     if (now >= core->lease_deadline || core->epoch_count == 0) {
-        /* Without a lease nothing can be read, so a repeat of a key that ran
-         * before cannot be told from a first request. */
+        /* Without a lease the replicas cannot be read, so a keyed request may
+         * already have run. */
         request_end(core, now, request,
                     spec->keyed ? WIRE_OUTCOME_UNKNOWN : WIRE_OUTCOME_NOT_RUN,
-                    RULE_NO_LEASE, NO_LEASE_RETRY_MS);
+                    RULE_NO_LEASE, RETRY_AFTER_MS);
         return;
     }
     if (!spec->safe && !spec->keyed) {
@@ -340,7 +331,7 @@
         return;
     }
     if (now >= spec->deadline ||
-        spec->wall_deadline > wall + CLAIM_HORIZON_MS) {
+        spec->wall_deadline > wall + CLAIM_DEADLINE_MAX_MS) {
         request_end(core, now, request,
                     spec->keyed ? WIRE_OUTCOME_UNKNOWN : WIRE_OUTCOME_NOT_RUN,
                     RULE_BAD_DEADLINE, 0);
@@ -350,13 +341,13 @@
         request_start_claim(core, now, request);
         return;
     }
-    request_ask_gate(core, now, request);
+    request_acquire_slot(core, now, request);
 }
 
-/* Takes a slot; gives it back when it is no use any more. */
+/* A slot that is no longer needed is released. */
 void
-request_take_grant(struct request_core *core, uint64_t now,
-                   const wire_slot_grant *grant)
+request_handle_grant(struct request_core *core, uint64_t now,
+                     const wire_slot_grant *grant)
 {
     struct request *request =
         g_hash_table_lookup(core->by_slot, &grant->token);
@@ -377,36 +368,35 @@
         send_slot_done(core, grant->gate, grant->token, request, GATE_UNUSED,
                        0);
         request_end(core, now, request, WIRE_OUTCOME_NOT_RUN, RULE_NO_LEASE,
-                    NO_LEASE_RETRY_MS);
+                    RETRY_AFTER_MS);
         return;
     }
     request->state = REQUEST_RUNNING;
-    request->ran = true;
-    request->started = now;
-    request->tries++;
-    action = act(core, REQUEST_DISPATCH, request->spec.token);
+    request->may_have_run = true;
+    request->started_at = now;
+    request->attempts++;
+    action = add_action(core, REQUEST_DISPATCH, request->spec.token);
     action->address = request->address;
     action->port = request->port;
     action->deadline = request->spec.deadline;
 }
 
-/* The gate is there; it needs no stand-in, and not to be asked so often. */
+/* The gate is reachable and queued the request: resend less often. */
 void
-request_take_wait(struct request_core *core, uint64_t now,
-                  const wire_slot_wait *wait)
+request_handle_wait(struct request_core *core, uint64_t now,
+                    const wire_slot_wait *wait)
 {
     struct request *request = g_hash_table_lookup(core->by_slot, &wait->token);
 
     if (request != NULL && request->state == REQUEST_QUEUED) {
-        request->gate_asked = 0;
-        request->resend_at = now + REQUEST_WAIT_MS;
+        request->gate_attempts = 0;
+        request->resend_at = now + REQUEST_QUEUED_RESEND_MS;
     }
 }
 
-/* Takes a refusal of the gate. */
 void
-request_take_refusal(struct request_core *core, uint64_t now,
-                     const wire_slot_refuse *refuse)
+request_handle_refusal(struct request_core *core, uint64_t now,
+                       const wire_slot_refuse *refuse)
 {
     struct request *request =
         g_hash_table_lookup(core->by_slot, &refuse->token);
@@ -418,7 +408,7 @@
                 (enum ring_rule)refuse->reason, refuse->retry_ms);
 }
 
-/* Says whether a second upstream may be tried, and pays for it. */
+/* Charges the retry budget if another upstream may be tried. */
 static bool
 may_retry(struct request_core *core, uint64_t now,
           const struct request *request, enum gate_result result)
@@ -434,34 +424,36 @@
     return true;
 }
 
-/* Takes the whole answer of an upstream. What is too large to be recorded is
- * marked, so that a repeat is never given a part for the whole. */
+/* A response that is too large to store is marked, so that a repeated request
+ * never gets a truncated one. */
 static void
-take_answer(struct request_core *core, uint64_t now, struct request *request,
-            const struct request_reply *reply)
+record_response(struct request_core *core, uint64_t now,
+                struct request *request,
+                const struct request_response *response)
 {
-    const char *type = reply->content_type ? reply->content_type : "";
+    const char *type = response->content_type ? response->content_type : "";
     wire_outcome outcome = {.kind = WIRE_OUTCOME_ANSWERED,
                             .reason = RULE_UPSTREAM_ANSWERED,
-                            .status = reply->status,
+                            .status = response->status,
                             .upstream = ((uint64_t)request->address << 16) |
                                         request->port};
 
-    outcome.whole = reply->length <= WIRE_BODY_MAX && strlen(type) < WIRE_TYPE;
+    outcome.whole =
+        response->length <= WIRE_BODY_MAX && strlen(type) < WIRE_TYPE;
     g_strlcpy(outcome.content_type, type, WIRE_TYPE);
     if (outcome.whole) {
-        outcome.body.body_val = (char *)reply->body;
-        outcome.body.body_len = (u_int)reply->length;
+        outcome.body.body_val = (char *)response->body;
+        outcome.body.body_len = (u_int)response->length;
     }
     claim_copy_outcome(&outcome, &request->outcome);
     request->rule = RULE_UPSTREAM_ANSWERED;
-    finish(core, now, request);
+    finish_request(core, now, request);
 }
 
-/* An upstream's call ended. */
 void
-request_upstream(struct request_core *core, uint64_t now, uint64_t token,
-                 enum gate_result result, const struct request_reply *reply)
+request_handle_response(struct request_core *core, uint64_t now,
+                        uint64_t token, enum gate_result result,
+                        const struct request_response *response)
 {
     struct request *request = g_hash_table_lookup(core->requests, &token);
 
@@ -470,10 +462,10 @@
         return;
     }
     send_slot_done(core, request->gate, request->slot_token, request, result,
-                   (uint32_t)(now - request->started));
+                   (uint32_t)(now - request->started_at));
     switch (result) {
     case GATE_ANSWERED:
-        take_answer(core, now, request, reply);
+        record_response(core, now, request, response);
         return;
     case GATE_FAILED:
     case GATE_SHED:
@@ -482,37 +474,36 @@
         break;
     }
     if (result == GATE_SHED || result == GATE_REFUSED) {
-        request->ran = false;
+        request->may_have_run = false;
     }
     if (may_retry(core, now, request, result)) {
-        request_ask_gate(core, now, request);
+        request_acquire_slot(core, now, request);
         return;
     }
     if (result == GATE_FAILED) {
         request_end(core, now, request, WIRE_OUTCOME_UNKNOWN,
-                    RULE_UPSTREAM_FAILED, NO_LEASE_RETRY_MS);
+                    RULE_UPSTREAM_FAILED, RETRY_AFTER_MS);
         return;
     }
     request_end(core, now, request, WIRE_OUTCOME_NOT_RUN,
                 core->retry_budget < 1.0 ? RULE_BUDGET_SPENT
                                          : RULE_UPSTREAM_SHED,
-                NO_LEASE_RETRY_MS);
+                RETRY_AFTER_MS);
 }
 
-/* Ends a call that runs past its deadline or that nobody waits for. */
+/* Cancels a request past its deadline or whose caller disconnected. */
 static void
-abort_call(struct request_core *core, uint64_t now, struct request *request,
-           enum ring_rule rule)
+abort_attempt(struct request_core *core, uint64_t now, struct request *request,
+              enum ring_rule rule)
 {
-    (void)act(core, REQUEST_ABORT, request->spec.token);
+    (void)add_action(core, REQUEST_ABORT, request->spec.token);
     send_slot_done(core, request->gate, request->slot_token, request,
                    rule == RULE_CANCELLED ? GATE_UNUSED : GATE_FAILED,
-                   (uint32_t)(now - request->started));
+                   (uint32_t)(now - request->started_at));
     request_end(core, now, request, WIRE_OUTCOME_UNKNOWN, rule,
-                NO_LEASE_RETRY_MS);
+                RETRY_AFTER_MS);
 }
 
-/* The caller went away. */
 void
 request_cancel(struct request_core *core, uint64_t now, uint64_t token)
 {
@@ -521,9 +512,9 @@
     if (request == NULL) {
         return;
     }
-    request->delivered = true;
+    request->responded = true;
     if (request->state == REQUEST_RUNNING) {
-        abort_call(core, now, request, RULE_CANCELLED);
+        abort_attempt(core, now, request, RULE_CANCELLED);
     }
     else if (request->state != REQUEST_FINISHING) {
         request_end(core, now, request, WIRE_OUTCOME_NOT_RUN, RULE_CANCELLED,
@@ -531,10 +522,9 @@
     }
 }
 
-/* A replica stored the outcome. */
 void
-request_take_finish_reply(struct request_core *core, uint64_t now,
-                          const wire_finish_reply *reply)
+request_handle_finish_reply(struct request_core *core, uint64_t now,
+                            const wire_finish_reply *reply)
 {
     struct request *request =
         g_hash_table_lookup(core->requests, &reply->token);
@@ -545,37 +535,38 @@
     }
     for (size_t i = 0; i < request->replica_count; i++) {
         if (request->replicas[i].id == reply->replica) {
-            request->replicas[i].finished = true;
+            request->replicas[i].stored = true;
         }
     }
-    if (is_finished(request, false)) {
-        deliver(core, request);
+    if (is_stored(request, false)) {
+        respond(core, request);
     }
-    if (is_finished(request, true)) {
-        retire(core, request);
+    if (is_stored(request, true)) {
+        remove_request(core, request);
     }
 }
 
-/* Asks a gate again; one that stays silent has a stand-in, which knows fewer
- * of the slots in use, so that the upstreams themselves may shed. */
+/* Resends the slot request; after several attempts without a reply, uses a
+ * backup gate. The backup gate has not seen all slots in use, so upstreams may
+ * shed. */
 static void
-ask_again(struct request_core *core, uint64_t now, struct request *request)
+retry_gate(struct request_core *core, uint64_t now, struct request *request)
 {
     unsigned next = (request->gate_rank + 1) % MEMBER_KEEPERS;
 
     request->resend_at = now + REQUEST_RESEND_MS;
-    if (request->gate_asked++ < REQUEST_GATE_TRIES ||
-        gate_of(core, request->spec.service, next) == 0) {
+    if (request->gate_attempts++ < REQUEST_GATE_ATTEMPTS ||
+        find_gate(core, request->spec.service, next) == 0) {
         send_slot_ask(core, now, request, false);
         return;
     }
     send_slot_done(core, request->gate, request->slot_token, request,
                    GATE_UNUSED, 0);
     request->gate_rank = next;
-    request_ask_gate(core, now, request);
+    request_acquire_slot(core, now, request);
 }
 
-/* Asks again, or another gate after an epoch change. */
+/* Resends, or switches to the new gate after an epoch change. */
 static void
 tick_queued(struct request_core *core, uint64_t now, struct request *request)
 {
@@ -583,26 +574,26 @@
         send_slot_done(core, request->gate, request->slot_token, request,
                        GATE_UNUSED, 0);
         request_end(core, now, request, WIRE_OUTCOME_NOT_RUN, RULE_TOO_LATE,
-                    NO_LEASE_RETRY_MS);
+                    RETRY_AFTER_MS);
     }
     else if (request->gate !=
-             gate_of(core, request->spec.service, request->gate_rank)) {
+             find_gate(core, request->spec.service, request->gate_rank)) {
         request->gate_rank = 0;
-        request_ask_gate(core, now, request);
+        request_acquire_slot(core, now, request);
     }
     else if (now >= request->resend_at) {
-        ask_again(core, now, request);
+        retry_gate(core, now, request);
     }
 }
 
-/* Tells a new gate of a slot in use; ends what is past its deadline. */
+/* Registers the slot at a new gate; ends a request past its deadline. */
 static void
 tick_running(struct request_core *core, uint64_t now, struct request *request)
 {
-    uint64_t gate = gate_of(core, request->spec.service, 0);
+    uint64_t gate = find_gate(core, request->spec.service, 0);
 
     if (now >= request->spec.deadline) {
-        abort_call(core, now, request, RULE_UPSTREAM_FAILED);
+        abort_attempt(core, now, request, RULE_UPSTREAM_FAILED);
     }
     else if (request->gate != gate) {
         send_slot_done(core, request->gate, request->slot_token, request,
@@ -612,9 +603,8 @@
     }
 }
 
-/* Lets time pass for one request. */
 static void
-tick_one(struct request_core *core, uint64_t now, struct request *request)
+tick_request(struct request_core *core, uint64_t now, struct request *request)
 {
     switch (request->state) {
     case REQUEST_CLAIMING:
@@ -623,7 +613,7 @@
     case REQUEST_WAITING:
         if (now >= request->spec.deadline) {
             request_end(core, now, request, WIRE_OUTCOME_UNKNOWN,
-                        RULE_KEY_RUNNING, NO_LEASE_RETRY_MS);
+                        RULE_KEY_RUNNING, RETRY_AFTER_MS);
             return;
         }
         request_tick_claim(core, now, request);
@@ -636,7 +626,7 @@
         return;
     case REQUEST_FINISHING:
         if (now >= request->finish_deadline) {
-            retire(core, request);
+            remove_request(core, request);
         }
         else if (now >= request->resend_at) {
             request->resend_at = now + REQUEST_RESEND_MS;
@@ -648,7 +638,6 @@
     }
 }
 
-/* Lets time pass. */
 void
 request_tick(struct request_core *core, uint64_t now)
 {
@@ -656,19 +645,17 @@
 
     request_expire_epochs(core, now);
     for (GList *l = all; l != NULL; l = l->next) {
-        tick_one(core, now, l->data);
+        tick_request(core, now, l->data);
     }
     g_list_free(all);
 }
 
-/* Requests not yet answered. */
 size_t
 request_count(const struct request_core *core)
 {
     return g_hash_table_size(core->requests);
 }
 
-/* Gives the actions. */
 const struct request_action *
 request_actions(struct request_core *core, size_t *count)
 {
@@ -676,7 +663,6 @@
     return (const struct request_action *)(void *)core->actions->data;
 }
 
-/* Forgets the actions, and the requests that ended. */
 void
 request_clear_actions(struct request_core *core)
 {
--- a/tests/request-load.c
+++ b/tests/request-load.c
@@ -257,7 +257,7 @@
     struct sim_node *node = &r->sim->nodes[e->node];
     const struct attempt *attempt = attempt_at(r, e->attempt);
     char body[32];
-    struct request_reply reply = {.status = 200, .body = body};
+    struct request_response reply = {.status = 200, .body = body};
 
     if (!node->up || node->id != e->entry_start) {
         return;
@@ -868,7 +868,7 @@
     sim_run(r.sim, r.sim->now + 2000);
     (void)sim_roll_out(r.sim, text, WARM_UP_MS);
     /* The epochs of the start must be out of the window. */
-    sim_run(r.sim, r.sim->now + CLAIM_HORIZON_MS + CLAIM_KEEP_MS);
+    sim_run(r.sim, r.sim->now + CLAIM_DEADLINE_MAX_MS + CLAIM_RETENTION_MS);
     g_free(text);
     run_load(&r);
     finish(&r);
--- a/tools/bench-capacity.c
+++ b/tools/bench-capacity.c
@@ -323,9 +323,9 @@
                 .service = 1, .token = i, .entry = 7, .budget_ms = 1000};
             wire_slot_done done = {.service = 1, .token = i, .entry = 7};
 
-            gate_ask(gate, 1000, &ask);
-            gate_done(gate, 1000, &done);
-            g_array_set_size(gate->answers, 0);
+            gate_acquire(gate, 1000, &ask);
+            gate_release(gate, 1000, &done);
+            g_array_set_size(gate->replies, 0);
         }
         gate_values[r] = (cpu_ns() - began) / 100000.0;
         claim_open(&claims, 1);
@@ -335,7 +335,7 @@
             wire_claim_reply reply;
 
             memcpy(claim.key, &i, sizeof(i));
-            claim_take(&claims, 0, &claim, &reply);
+            claim_decide(&claims, 0, &claim, &reply);
         }
         claim_values[r] = (cpu_ns() - began) / 100000.0;
         claim_close(&claims);
