--- a/entry-core.c
+++ b/entry-core.c
@@ -1,6 +1,6 @@
 /*
- * One entry: hands events to the parts of the core and gathers their
- * actions. Rules of its own: none but routing and the planned stop.
+ * Dispatches events to the modules of the entry core and collects their
+ * actions; decides when a planned stop may end.
  */
 #include "entry-core.h"
 
@@ -10,9 +10,8 @@
 #include "entry-internal.h"
 #include "hash.h"
 
-/* Adds an action. */
 static struct entry_action *
-act(struct entry_core *core, enum entry_action_kind kind)
+add_action(struct entry_core *core, enum entry_action_kind kind)
 {
     struct entry_action action = {.kind = kind};
 
@@ -21,11 +20,11 @@
                           core->actions->len - 1);
 }
 
-/* Sends a message to another entry, or to itself. */
+/* Sends a message to another entry, or queues it in the inbox for itself. */
 void
 entry_send_peer(struct entry_core *core, uint64_t id, wire_msg *msg)
 {
-    const struct member *peer = member_find(&core->all, id);
+    const struct member *peer = member_find(&core->members, id);
     struct entry_action *action;
 
     if (id == core->self.id) {
@@ -35,24 +34,22 @@
     if (peer == NULL) {
         return;
     }
-    action = act(core, ENTRY_TO_PEER);
+    action = add_action(core, ENTRY_SEND_PEER);
     action->peer = *peer;
     action->msg_kind = msg->kind;
     action->bytes = codec_encode(msg);
 }
 
-/* Sends a message to a control replica. */
 void
 entry_send_control(struct entry_core *core, uint32_t replica, wire_msg *msg)
 {
-    struct entry_action *action = act(core, ENTRY_TO_CONTROL);
+    struct entry_action *action = add_action(core, ENTRY_SEND_CONTROL);
 
     action->replica = replica;
     action->msg_kind = msg->kind;
     action->bytes = codec_encode(msg);
 }
 
-/* Starts an entry. */
 struct entry_core *
 entry_core_new(const struct entry_options *options)
 {
@@ -69,7 +66,7 @@
     memcpy(core->controls, options->controls,
            options->control_count * sizeof(*options->controls));
     core->counters = options->counters;
-    core->push_budget = ENTRY_PUSH_BURST;
+    core->push_committed_tokens = ENTRY_PUSH_BURST_BYTES;
     ring_open(&core->ring, options->ring_size);
     flow.ring = &core->ring;
     core->flow = flow_new(&flow);
@@ -82,19 +79,18 @@
     g_queue_init(&core->inbox);
     core->actions = g_array_new(FALSE, FALSE, sizeof(struct entry_action));
     if (options->saved_text != NULL) {
-        entry_set_floor(core, options->saved_text);
+        entry_set_min_version(core, options->saved_text);
     }
     return core;
 }
 
-/* Frees an entry. */
 void
 entry_core_free(struct entry_core *core)
 {
-    entry_core_clear(core);
-    entry_forget_handovers(core);
+    entry_core_clear_actions(core);
+    entry_free_handovers(core);
     g_ptr_array_free(core->handovers, TRUE);
-    entry_forget_batches(core);
+    entry_free_batches(core);
     g_ptr_array_free(core->batches, TRUE);
     while (!g_queue_is_empty(&core->inbox)) {
         g_byte_array_unref(g_queue_pop_head(&core->inbox));
@@ -106,19 +102,19 @@
     flow_free(core->flow);
     ring_close(&core->ring);
     bundle_free(&core->bundle);
-    bundle_free(&core->before);
-    member_set_clear(&core->all);
-    member_set_clear(&core->active);
-    member_set_clear(&core->active_before);
+    bundle_free(&core->prev_bundle);
+    member_set_clear(&core->members);
+    member_set_clear(&core->active_members);
+    member_set_clear(&core->prev_active_members);
     g_free(core->text);
     g_free(core->self.name);
     g_free(core->self.hall);
     g_free(core);
 }
 
-/* Moves the actions of the requests over. */
+/* Converts the actions of the coordinator. */
 static void
-take_request_actions(struct entry_core *core)
+collect_request_actions(struct entry_core *core)
 {
     size_t count;
     const struct request_action *all =
@@ -133,17 +129,17 @@
             entry_send_peer(core, from.peer, &from.msg);
             break;
         case REQUEST_DISPATCH:
-            action = act(core, ENTRY_DISPATCH);
+            action = add_action(core, ENTRY_DISPATCH);
             action->token = from.token;
             action->address = from.address;
             action->port = from.port;
             action->deadline = from.deadline;
             break;
         case REQUEST_ABORT:
-            act(core, ENTRY_ABORT)->token = from.token;
+            add_action(core, ENTRY_ABORT)->token = from.token;
             break;
         case REQUEST_RESPOND:
-            action = act(core, ENTRY_ANSWER);
+            action = add_action(core, ENTRY_RESPOND);
             action->token = from.token;
             action->rule = from.rule;
             claim_copy_outcome(&from.outcome, &action->outcome);
@@ -153,9 +149,8 @@
     request_clear_actions(&core->requests);
 }
 
-/* Answers a claim as a replica of its key. */
 static void
-take_claim(struct entry_core *core, const wire_claim *claim)
+handle_claim(struct entry_core *core, const wire_claim *claim)
 {
     wire_msg msg = {.kind = WIRE_CLAIM_REPLY};
 
@@ -164,9 +159,8 @@
     entry_send_peer(core, claim->coordinator, &msg);
 }
 
-/* Stores an outcome as a replica of its key. */
 static void
-take_finish(struct entry_core *core, const wire_finish *finish)
+handle_finish(struct entry_core *core, const wire_finish *finish)
 {
     wire_msg msg = {.kind = WIRE_FINISH_REPLY};
 
@@ -176,23 +170,22 @@
     entry_send_peer(core, finish->claim.coordinator, &msg);
 }
 
-/* Hands one message to the part it is for. */
 static void
-dispatch(struct entry_core *core, uint64_t now, uint64_t wall,
-         const wire_msg *msg)
+handle_message(struct entry_core *core, uint64_t now, uint64_t wall,
+               const wire_msg *msg)
 {
     switch (msg->kind) {
     case WIRE_LEASE:
-        entry_take_lease(core, now, &msg->wire_msg_u.lease);
+        entry_handle_lease(core, now, &msg->wire_msg_u.lease);
         return;
     case WIRE_BUNDLE:
-        entry_take_bundle(core, now, &msg->wire_msg_u.bundle);
+        entry_handle_bundle(core, now, &msg->wire_msg_u.bundle);
         return;
     case WIRE_EPOCHS:
-        entry_take_epochs(core, now, &msg->wire_msg_u.epochs);
+        entry_handle_epochs(core, now, &msg->wire_msg_u.epochs);
         return;
     case WIRE_RECORDS:
-        entry_take_records(core, now, &msg->wire_msg_u.records);
+        entry_handle_records(core, now, &msg->wire_msg_u.records);
         return;
     case WIRE_KNOWN:
         flow_set_known(core->flow, msg->wire_msg_u.known.sender,
@@ -201,24 +194,24 @@
                        msg->wire_msg_u.known.bits.bits_len);
         return;
     case WIRE_RECORDS_ACK:
-        entry_take_records_ack(core, &msg->wire_msg_u.records_ack);
+        entry_handle_records_ack(core, &msg->wire_msg_u.records_ack);
         return;
     case WIRE_CLAIM:
-        take_claim(core, &msg->wire_msg_u.claim);
+        handle_claim(core, &msg->wire_msg_u.claim);
         return;
     case WIRE_CLAIM_REPLY:
         request_handle_claim_reply(&core->requests, now,
                                    &msg->wire_msg_u.claim_reply);
         return;
     case WIRE_FINISH:
-        take_finish(core, &msg->wire_msg_u.finish);
+        handle_finish(core, &msg->wire_msg_u.finish);
         return;
     case WIRE_FINISH_REPLY:
         request_handle_finish_reply(&core->requests, now,
                                     &msg->wire_msg_u.finish_reply);
         return;
     case WIRE_SLOT_ASK:
-        entry_take_slot_ask(core, now, &msg->wire_msg_u.slot_ask);
+        entry_handle_slot_ask(core, now, &msg->wire_msg_u.slot_ask);
         return;
     case WIRE_SLOT_GRANT:
         request_handle_grant(&core->requests, now,
@@ -232,13 +225,13 @@
         request_handle_wait(&core->requests, now, &msg->wire_msg_u.slot_wait);
         return;
     case WIRE_SLOT_DONE:
-        entry_take_slot_done(core, now, &msg->wire_msg_u.slot_done);
+        entry_handle_slot_done(core, now, &msg->wire_msg_u.slot_done);
         return;
     case WIRE_HANDOVER:
-        entry_take_handover(core, wall, &msg->wire_msg_u.handover);
+        entry_handle_handover(core, wall, &msg->wire_msg_u.handover);
         return;
     case WIRE_HANDOVER_ACK:
-        entry_take_handover_ack(core, &msg->wire_msg_u.handover_ack);
+        entry_handle_handover_ack(core, &msg->wire_msg_u.handover_ack);
         return;
     case WIRE_VOTE_ASK:
     case WIRE_VOTE_REPLY:
@@ -270,25 +263,24 @@
     }
 }
 
-/* Works off actions and messages to itself until none is left. */
+/* Handles messages to this entry itself until the inbox is empty. */
 static void
-settle(struct entry_core *core, uint64_t now, uint64_t wall)
+process_pending(struct entry_core *core, uint64_t now, uint64_t wall)
 {
-    take_request_actions(core);
+    collect_request_actions(core);
     while (!g_queue_is_empty(&core->inbox)) {
         GByteArray *bytes = g_queue_pop_head(&core->inbox);
         wire_msg msg;
 
         if (codec_decode(bytes->data, bytes->len, &msg)) {
-            dispatch(core, now, wall, &msg);
+            handle_message(core, now, wall, &msg);
             codec_free(&msg);
         }
         g_byte_array_unref(bytes);
-        take_request_actions(core);
+        collect_request_actions(core);
     }
 }
 
-/* Lets time pass. */
 void
 entry_core_tick(struct entry_core *core, uint64_t now, uint64_t wall)
 {
@@ -296,54 +288,50 @@
     entry_tick_records(core, now);
     entry_tick_gates(core, now);
     request_tick(&core->requests, now);
-    /* The lists of a handover point into the records. */
-    if (core->handovers->len == 0 && now >= core->expire_at) {
-        core->expire_at = now + ENTRY_EXPIRE_MS;
+    /* Handovers borrow claim records, so none may expire meanwhile. */
+    if (core->handovers->len == 0 && now >= core->expire_claims_at) {
+        core->expire_claims_at = now + ENTRY_EXPIRE_INTERVAL_MS;
         claim_expire(&core->claims, wall);
     }
     entry_tick_handover(core, now);
-    core->ticked_at = now;
-    settle(core, now, wall);
+    core->last_tick = now;
+    process_pending(core, now, wall);
 }
 
-/* Takes a message. */
 void
 entry_core_receive(struct entry_core *core, uint64_t now, uint64_t wall,
                    const wire_msg *msg)
 {
-    dispatch(core, now, wall, msg);
-    settle(core, now, wall);
+    handle_message(core, now, wall, msg);
+    process_pending(core, now, wall);
 }
 
-/* A caller asks. */
 void
-entry_core_request(struct entry_core *core, uint64_t now, uint64_t wall,
-                   const struct request_spec *spec)
+entry_core_start_request(struct entry_core *core, uint64_t now, uint64_t wall,
+                         const struct request_spec *spec)
 {
     request_start(&core->requests, now, wall, spec);
-    settle(core, now, wall);
+    process_pending(core, now, wall);
 }
 
-/* An upstream's call ended. */
 void
-entry_core_upstream(struct entry_core *core, uint64_t now, uint64_t wall,
-                    uint64_t token, enum gate_result result,
-                    const struct request_response *reply)
+entry_core_handle_response(struct entry_core *core, uint64_t now,
+                           uint64_t wall, uint64_t token,
+                           enum gate_result result,
+                           const struct request_response *reply)
 {
     request_handle_response(&core->requests, now, token, result, reply);
-    settle(core, now, wall);
+    process_pending(core, now, wall);
 }
 
-/* A caller went away. */
 void
-entry_core_cancel(struct entry_core *core, uint64_t now, uint64_t wall,
-                  uint64_t token)
+entry_core_cancel_request(struct entry_core *core, uint64_t now, uint64_t wall,
+                          uint64_t token)
 {
     request_cancel(&core->requests, now, token);
-    settle(core, now, wall);
+    process_pending(core, now, wall);
 }
 
-/* Begins a planned stop: control is told at once. */
 void
 entry_core_stop(struct entry_core *core, uint64_t now)
 {
@@ -353,28 +341,28 @@
     core->stopping = true;
     core->self.stopping = TRUE;
     core->report_at = now;
-    core->linger_until = now + ENTRY_LINGER_MS;
+    core->earliest_exit = now + ENTRY_STOP_MIN_MS;
 }
 
-/* Says whether a planned stop may end. */
 bool
-entry_core_is_stopped(const struct entry_core *core, uint64_t now)
+entry_core_may_exit(const struct entry_core *core, uint64_t now)
 {
-    bool out =
-        core->epoch > 0 && member_find(&core->active, core->self.id) == NULL;
+    bool removed = core->epoch > 0 &&
+                   member_find(&core->active_members, core->self.id) == NULL;
 
-    if (!core->stopping || now < core->linger_until ||
+    if (!core->stopping || now < core->earliest_exit ||
         request_count(&core->requests) > 0) {
         return false;
     }
-    /* Without control no epoch will ever leave this entry out. */
-    if (now >= core->lease_deadline + ENTRY_ALONE_MS) {
+    /* Without control, no new epoch removes this entry. */
+    if (now >= core->lease_deadline + ENTRY_NO_LEASE_EXIT_MS) {
         return true;
     }
-    return out && entry_is_handed_over(core) && entry_is_pushed(core);
+    return removed && entry_handover_is_done(core) &&
+           entry_records_confirmed(core);
 }
 
-/* Finds the service of a Host, without its port. */
+/* Compares the Host without its port, case-insensitively (RFC 9110, 7.2). */
 const struct bundle_service *
 entry_core_find_host(const struct entry_core *core, const char *host)
 {
@@ -391,7 +379,6 @@
     return NULL;
 }
 
-/* Gives the actions. */
 const struct entry_action *
 entry_core_actions(struct entry_core *core, size_t *count)
 {
@@ -399,9 +386,8 @@
     return (const struct entry_action *)(void *)core->actions->data;
 }
 
-/* Forgets the actions. */
 void
-entry_core_clear(struct entry_core *core)
+entry_core_clear_actions(struct entry_core *core)
 {
     for (guint i = 0; i < core->actions->len; i++) {
         struct entry_action *action =
--- a/entry-core.h
+++ b/entry-core.h
@@ -1,8 +1,8 @@
 /**
  * @file entry-core.h
- * One entry without I/O: the bundle and epoch in force, its lease, flow
- * steering, requests, records of keys and gates. Packets are decided by
- * flow_steer() on `flow`; everything else comes in and goes out here.
+ * State machine of one entry, without I/O (sans-I/O): lease, bundle and epoch
+ * in force, flow steering, idempotent requests, replicated claim records and
+ * gates. Events and the time are arguments; effects are returned as actions.
  */
 #ifndef RIDGERIDGE_ENTRY_CORE_H
 #define RIDGERIDGE_ENTRY_CORE_H
@@ -15,111 +15,113 @@
 #include "request.h"
 #include "ring.h"
 
-#define ENTRY_REPORT_MS 1000U    /**< between reports to control */
-#define ENTRY_FETCH_MS 300U      /**< between fetches of the same thing */
-#define ENTRY_PUSH_RATE 12000U   /**< bytes a second of records, at most */
-#define ENTRY_PUSH_REFILL 1500U  /**< bytes a second, in the long run */
-#define ENTRY_PUSH_BURST 30000U  /**< bytes that may gather */
-#define ENTRY_PUSH_MS 250U       /**< between pushes */
-#define ENTRY_HINT_MS 4000U      /**< between hints to entries that ask */
-#define ENTRY_SCAN_PLACES 65536U /**< places of the table a tick looks at */
-#define ENTRY_ALONE_MS 20000U    /**< a stop without any lease ends then */
-#define ENTRY_EXPIRE_MS 5000U    /**< between looks for expired claims */
-#define ENTRY_LINGER_MS 1000U    /**< a stopping entry goes on so long */
-#define ENTRY_CONTROLS_MAX 7U
-
-/** What the shell must do. */
+#define ENTRY_REPORT_INTERVAL_MS 1000U /**< between reports to control */
+#define ENTRY_FETCH_INTERVAL_MS 300U   /**< between fetches of one object */
+#define ENTRY_PUSH_PEAK_BYTES_S 12000U /**< peak rate of pushed records */
+#define ENTRY_PUSH_COMMITTED_BYTES_S 1500U /**< mean rate */
+#define ENTRY_PUSH_BURST_BYTES 30000U      /**< burst above the mean rate */
+#define ENTRY_PUSH_INTERVAL_MS 250U        /**< between pushes */
+#define ENTRY_HINT_INTERVAL_MS 4000U       /**< between batches of hints */
+#define ENTRY_SCAN_SLOTS 65536U       /**< flow table slots scanned a tick */
+#define ENTRY_NO_LEASE_EXIT_MS 20000U /**< after lease expiry: stop ends */
+#define ENTRY_EXPIRE_INTERVAL_MS                                              \
+    5000U                       /**< between expiry runs over claims          \
+                                 */
+#define ENTRY_STOP_MIN_MS 1000U /**< shortest planned stop */
+#define ENTRY_CONTROLS_MAX 7U   /**< control replicas */
+
+/** Effect that the owner of the core carries out. */
 enum entry_action_kind {
-    ENTRY_TO_CONTROL, /**< send `msg` to control replica `replica` */
-    ENTRY_TO_PEER,    /**< send `msg` to the entry at `peer` */
-    ENTRY_DISPATCH,   /**< call an upstream */
-    ENTRY_ABORT,      /**< cancel that call */
-    ENTRY_ANSWER,     /**< answer a caller */
-    ENTRY_SAVE        /**< store the bundle in force, where there is a disk */
+    ENTRY_SEND_CONTROL, /**< send `bytes` to control replica `replica` */
+    ENTRY_SEND_PEER,    /**< send `bytes` to the entry `peer` */
+    ENTRY_DISPATCH,     /**< send the request to an upstream */
+    ENTRY_ABORT,        /**< cancel the request at the upstream */
+    ENTRY_RESPOND,      /**< respond to a caller */
+    ENTRY_SAVE_BUNDLE   /**< save the bundle in force to disk */
 };
 
-/** One action. */
+/** One action; the comments name the kinds that set a field. */
 struct entry_action {
-    enum entry_action_kind kind; /**< which of the following is set */
-    uint32_t replica;            /**< TO_CONTROL */
-    struct member peer;          /**< TO_PEER */
-    GByteArray *bytes;           /**< TO_CONTROL, TO_PEER: encoded message */
-    enum wire_kind msg_kind;     /**< TO_CONTROL, TO_PEER: for accounting */
-    uint64_t token;              /**< DISPATCH, ABORT, ANSWER */
-    uint32_t address;            /**< DISPATCH: upstream */
-    uint16_t port;               /**< DISPATCH: upstream */
-    uint64_t deadline;           /**< DISPATCH: monotonic ms */
-    wire_outcome outcome;        /**< ANSWER; its body is owned */
-    enum ring_rule rule;         /**< ANSWER */
+    enum entry_action_kind kind;
+    uint32_t replica;        /**< SEND_CONTROL */
+    struct member peer;      /**< SEND_PEER */
+    GByteArray *bytes;       /**< SEND_*: encoded message, owned */
+    enum wire_kind msg_kind; /**< SEND_*: for traffic counters */
+    uint64_t token;          /**< DISPATCH, ABORT, RESPOND: request */
+    uint32_t address;        /**< DISPATCH: IPv4, host order */
+    uint16_t port;           /**< DISPATCH: TCP */
+    uint64_t deadline;       /**< DISPATCH: monotonic ms */
+    wire_outcome outcome;    /**< RESPOND; owned body */
+    enum ring_rule rule;     /**< RESPOND: why */
 };
 
-/** The handover of key records by a stopping entry, to one other. */
+/** Handover of claim records from a stopping entry to one other entry. */
 struct entry_handover {
     uint64_t receiver;  /**< entry */
     GPtrArray *records; /**< struct claim_record, borrowed */
-    uint32_t received;  /**< confirmed */
-    bool done;          /**< all confirmed */
-    uint64_t resend_at; /**< deadline */
+    uint32_t acked;     /**< records acknowledged */
+    bool done;          /**< all records acknowledged */
+    uint64_t resend_at; /**< monotonic ms */
 };
 
-/** Flow records that were pushed to a keeper and not yet confirmed. */
+/** Flow records pushed to a keeper and not yet acknowledged. */
 struct entry_batch {
-    uint64_t receiver;  /**< entry */
-    uint32_t sequence;  /**< of this entry's batches */
-    uint64_t resend_at; /**< deadline */
-    uint32_t wait_ms;   /**< until the next resend, doubled each time */
-    u_int count;        /**< of records */
-    wire_flow_record records[WIRE_RECORDS_MAX]; /**< as sent */
+    uint64_t receiver;           /**< entry */
+    uint32_t sequence;           /**< unique among this entry's batches */
+    uint64_t resend_at;          /**< monotonic ms */
+    uint32_t resend_interval_ms; /**< exponential backoff */
+    u_int count;                 /**< of records */
+    wire_flow_record records[WIRE_RECORDS_MAX];
 };
 
-/** One entry. */
+/** One entry; times are monotonic ms. */
 struct entry_core {
     wire_member self;                      /**< as reported; owned strings */
     uint32_t controls[ENTRY_CONTROLS_MAX]; /**< replica numbers */
     size_t control_count;                  /**< of controls */
-    size_t control_next;                   /**< whom to try without a leader */
-    uint32_t leader;                       /**< replica, 0: not known */
-    uint64_t term;                         /**< highest seen from control */
-    uint64_t lease_deadline;               /**< monotonic ms */
-    uint64_t report_at;                    /**< deadline of the next report */
-    uint64_t unanswered;                   /**< reports since the last lease */
-    uint64_t bundle_fetch_at;              /**< not before */
-    uint64_t epoch_fetch_at;               /**< not before */
-    uint64_t epoch;                        /**< in force here, 0: none */
-    uint64_t floor;        /**< version that an earlier run had */
-    uint64_t told_version; /**< by control */
-    uint32_t told_step;    /**< of that version */
-    unsigned char told_digest[WIRE_DIGEST]; /**< of that version */
-    struct bundle bundle;                   /**< in force */
-    struct bundle before;            /**< the one before; may be empty */
-    bool has_before;                 /**< `before` is set */
-    char *text;                      /**< of the bundle in force */
-    struct member_set all;           /**< of the epoch, with stopping ones */
-    struct member_set active;        /**< of the epoch, without them */
-    struct member_set active_before; /**< the last that had this entry */
-    struct flow *flow;               /**< steering */
-    struct request_core requests;    /**< as coordinator */
-    struct claim_table claims;       /**< as replica */
-    GHashTable *gates;               /**< service hash to struct gate */
-    struct counters *counters;       /**< of the process */
-    struct ring ring;                /**< decisions */
-    double push_budget;              /**< bytes that may be pushed in all */
-    double push_allowance;           /**< bytes that may be pushed now */
-    uint64_t push_at;                /**< deadline of the next push */
-    uint64_t hint_at;                /**< deadline of the next hints */
-    GPtrArray *batches;              /**< struct entry_batch, unconfirmed */
-    uint32_t next_batch;             /**< sequence of the next one */
-    uint64_t ticked_at;              /**< last tick */
-    bool stopping;                   /**< a planned stop began */
-    uint64_t expire_at;              /**< deadline: drop expired claims */
-    uint64_t linger_until;           /**< not before the stop is done */
-    GPtrArray *handovers;            /**< struct entry_handover */
-    uint64_t handover_epoch;         /**< it was listed for */
-    GQueue inbox;                    /**< GByteArray: messages to itself */
-    GArray *actions;                 /**< struct entry_action */
+    size_t next_control;         /**< tried while the leader is unknown */
+    uint32_t leader;             /**< replica; 0: unknown */
+    uint64_t term;               /**< highest seen from control */
+    uint64_t lease_deadline;     /**< 0: no lease */
+    uint64_t report_at;          /**< next report */
+    uint64_t unanswered_reports; /**< since the last reply of control */
+    uint64_t bundle_fetch_at;    /**< earliest next fetch */
+    uint64_t epoch_fetch_at;     /**< earliest next fetch */
+    uint64_t epoch;              /**< in force; 0: none */
+    uint64_t min_version;        /**< bundle version saved by the last run */
+    uint64_t announced_version;  /**< bundle version announced by control */
+    uint32_t announced_step;     /**< rollout step of announced_version */
+    unsigned char announced_digest[WIRE_DIGEST]; /**< of announced_version */
+    struct bundle bundle;                        /**< in force */
+    struct bundle prev_bundle;             /**< empty without a predecessor */
+    bool has_prev_bundle;                  /**< prev_bundle is set */
+    char *text;                            /**< of the bundle in force */
+    struct member_set members;             /**< of the epoch, with stopping */
+    struct member_set active_members;      /**< of the epoch, none stopping */
+    struct member_set prev_active_members; /**< last set with this entry */
+    struct flow *flow;                     /**< packet steering */
+    struct request_core requests;          /**< as coordinator */
+    struct claim_table claims;             /**< as replica */
+    GHashTable *gates;                     /**< service hash to struct gate */
+    struct counters *counters;             /**< of the process */
+    struct ring ring;                      /**< recent decisions */
+    double push_committed_tokens;          /**< token bucket, mean rate */
+    double push_peak_tokens;               /**< token bucket, peak rate */
+    uint64_t push_at;                      /**< next push */
+    uint64_t hint_at;                      /**< next batch of hints */
+    GPtrArray *batches;        /**< struct entry_batch, unacknowledged */
+    uint32_t last_batch;       /**< sequence number */
+    uint64_t last_tick;        /**< 0: none yet */
+    bool stopping;             /**< a planned stop has started */
+    uint64_t expire_claims_at; /**< next expiry run */
+    uint64_t earliest_exit;    /**< a planned stop lasts at least until then */
+    GPtrArray *handovers;      /**< struct entry_handover */
+    uint64_t handover_epoch;   /**< epoch of `handovers` */
+    GQueue inbox;    /**< GByteArray: messages to this entry itself */
+    GArray *actions; /**< struct entry_action */
 };
 
-/** What a new entry needs. */
+/** Options of entry_core_new(). */
 struct entry_options {
     wire_member self;          /**< copied */
     const uint32_t *controls;  /**< replica numbers */
@@ -127,57 +129,55 @@
     size_t flow_capacity;      /**< records */
     size_t ring_size;          /**< decisions */
     struct counters *counters; /**< of the process */
-    const char *saved_text;    /**< bundle of an earlier run, or NULL */
-    bool push_off;             /**< trial: never push flow records */
+    const char *saved_text;    /**< bundle saved by the last run, or NULL */
+    bool push_off;             /**< never push flow records (simulation) */
 };
 
-/** Starts an entry. */
 struct entry_core *entry_core_new(const struct entry_options *options);
 
-/** Frees an entry. */
 void entry_core_free(struct entry_core *core);
 
-/** Lets time pass; `wall` is ms since 1970. */
+/** Runs timers. @param wall ms since 1970 */
 void entry_core_tick(struct entry_core *core, uint64_t now, uint64_t wall);
 
-/** Takes a message of control or of another entry. */
+/** Handles a message of control or of another entry. */
 void entry_core_receive(struct entry_core *core, uint64_t now, uint64_t wall,
                         const wire_msg *msg);
 
-/** A caller asks; its token must be unique at this entry. */
-void entry_core_request(struct entry_core *core, uint64_t now, uint64_t wall,
-                        const struct request_spec *spec);
+/** Starts a caller's request. @param spec its token is unique at this entry */
+void entry_core_start_request(struct entry_core *core, uint64_t now,
+                              uint64_t wall, const struct request_spec *spec);
 
-/** An upstream's call ended. */
-void entry_core_upstream(struct entry_core *core, uint64_t now, uint64_t wall,
-                         uint64_t token, enum gate_result result,
-                         const struct request_response *reply);
+/** Handles the result of a request that ENTRY_DISPATCH sent to an upstream. */
+void entry_core_handle_response(struct entry_core *core, uint64_t now,
+                                uint64_t wall, uint64_t token,
+                                enum gate_result result,
+                                const struct request_response *reply);
 
-/** A caller went away. */
-void entry_core_cancel(struct entry_core *core, uint64_t now, uint64_t wall,
-                       uint64_t token);
+/** The caller closed its connection. */
+void entry_core_cancel_request(struct entry_core *core, uint64_t now,
+                               uint64_t wall, uint64_t token);
 
-/** Begins a planned stop. */
+/** Starts a planned stop. */
 void entry_core_stop(struct entry_core *core, uint64_t now);
 
-/** Says whether a planned stop has cut nothing and may end now. */
-bool entry_core_is_stopped(const struct entry_core *core, uint64_t now);
+/** True once a planned stop has drained requests, flow and claim records. */
+bool entry_core_may_exit(const struct entry_core *core, uint64_t now);
 
-/** Ends the lease and tells control that this entry is gone. */
-void entry_core_leave(struct entry_core *core, uint64_t now);
+/** Ends the lease and reports to control that this entry is gone. */
+void entry_core_deregister(struct entry_core *core, uint64_t now);
 
-/** Sends the records that packets caused; call after a batch of packets. */
+/** Sends flow records to the other keepers; called after each packet batch. */
 void entry_core_flush(struct entry_core *core);
 
-/** Finds the service of a Host; NULL when there is none. */
+/** Finds the request service of a Host header; NULL when there is none. */
 const struct bundle_service *
 entry_core_find_host(const struct entry_core *core, const char *host);
 
-/** Takes the actions. */
+/** Actions in order; valid until entry_core_clear_actions(). */
 const struct entry_action *entry_core_actions(struct entry_core *core,
                                               size_t *count);
 
-/** Forgets the actions, after they were carried out. */
-void entry_core_clear(struct entry_core *core);
+void entry_core_clear_actions(struct entry_core *core);
 
 #endif
--- a/entry-gates.c
+++ b/entry-gates.c
@@ -1,16 +1,20 @@
-/* The gates that an entry runs: for each service that it ranks first for, or
- * stands in for while the first is silent. */
+/*
+ * The gates of an entry. The entries of a service are ranked by rendezvous
+ * hashing (Thaler and Ravishankar, 1998); the first runs the gate, the next
+ * ones are backups.
+ */
 #include <string.h>
 
 #include "entry-internal.h"
 #include "hash.h"
 
-/* Says whether this entry gates a service, or may stand in for its gate. */
+/* True for the gate of a service and for its backups. */
 static bool
-is_gate(const struct entry_core *core, uint64_t service)
+may_gate(const struct entry_core *core, uint64_t service)
 {
     const struct member *set[MEMBER_KEEPERS];
-    size_t count = member_keepers(&core->active, service, MEMBER_KEEPERS, set);
+    size_t count =
+        member_keepers(&core->active_members, service, MEMBER_KEEPERS, set);
 
     for (size_t i = 0; i < count; i++) {
         if (set[i]->id == core->self.id) {
@@ -20,9 +24,8 @@
     return false;
 }
 
-/* Finds a request service by the hash of its name. */
 static const struct bundle_service *
-find_service(const struct entry_core *core, uint64_t service)
+find_request_service(const struct entry_core *core, uint64_t service)
 {
     for (size_t i = 0; i < core->bundle.service_count; i++) {
         const struct bundle_service *s = &core->bundle.services[i];
@@ -34,14 +37,14 @@
     return NULL;
 }
 
-/* Finds the gate of a service, and starts it when it is this entry's. */
+/* Creates the gate on first use; NULL when this entry may not run it. */
 static struct gate *
-find_gate(struct entry_core *core, uint64_t now, uint64_t service)
+get_gate(struct entry_core *core, uint64_t now, uint64_t service)
 {
     struct gate *gate = g_hash_table_lookup(core->gates, &service);
-    const struct bundle_service *s = find_service(core, service);
+    const struct bundle_service *s = find_request_service(core, service);
 
-    if (gate != NULL || s == NULL || !is_gate(core, service)) {
+    if (gate != NULL || s == NULL || !may_gate(core, service)) {
         return gate;
     }
     gate = gate_new(service, now);
@@ -51,9 +54,8 @@
     return gate;
 }
 
-/* Sends what a gate decided. */
 static void
-send_answers(struct entry_core *core, struct gate *gate)
+send_replies(struct entry_core *core, struct gate *gate)
 {
     for (guint i = 0; i < gate->replies->len; i++) {
         const struct gate_reply *a =
@@ -81,41 +83,39 @@
     g_array_set_size(gate->replies, 0);
 }
 
-/* Takes a question; one that is for another gate is left unanswered, and
- * the coordinator asks again once it knows the epoch. */
+/* Ignores a request for another entry's gate; the coordinator resends it to
+ * the right one after the next epoch. */
 void
-entry_take_slot_ask(struct entry_core *core, uint64_t now,
-                    const wire_slot_ask *ask)
+entry_handle_slot_ask(struct entry_core *core, uint64_t now,
+                      const wire_slot_ask *ask)
 {
-    struct gate *gate = find_gate(core, now, ask->service);
+    struct gate *gate = get_gate(core, now, ask->service);
 
     if (gate != NULL) {
         gate_acquire(gate, now, ask);
-        send_answers(core, gate);
+        send_replies(core, gate);
     }
 }
 
-/* Takes a slot back. */
 void
-entry_take_slot_done(struct entry_core *core, uint64_t now,
-                     const wire_slot_done *done)
+entry_handle_slot_done(struct entry_core *core, uint64_t now,
+                       const wire_slot_done *done)
 {
     GHashTableIter iter;
     gpointer value;
 
-    /* A slot that was never used does not name its service. */
+    /* An unused slot is released without its service. */
     g_hash_table_iter_init(&iter, core->gates);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         struct gate *gate = value;
 
         if (done->service == 0 || done->service == gate->service) {
             gate_release(gate, now, done);
-            send_answers(core, gate);
+            send_replies(core, gate);
         }
     }
 }
 
-/* Lets time pass for all gates. */
 void
 entry_tick_gates(struct entry_core *core, uint64_t now)
 {
@@ -125,33 +125,33 @@
     g_hash_table_iter_init(&iter, core->gates);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         gate_tick(value, now);
-        send_answers(core, value);
+        send_replies(core, value);
     }
 }
 
-/* Says whether an entry id is a member, stopping or not. */
+/* Frees the slots held by entries that left the epoch. */
 static void
-drop_missing(struct entry_core *core, struct gate *gate)
+release_absent_entries(struct entry_core *core, struct gate *gate)
 {
     GHashTableIter iter;
     gpointer value;
-    GArray *gone = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+    GArray *absent = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 
     g_hash_table_iter_init(&iter, gate->held_slots);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const struct gate_slot *hold = value;
 
-        if (member_find(&core->all, hold->entry) == NULL) {
-            g_array_append_val(gone, hold->entry);
+        if (member_find(&core->members, hold->entry) == NULL) {
+            g_array_append_val(absent, hold->entry);
         }
     }
-    for (guint i = 0; i < gone->len; i++) {
-        gate_drop_entry(gate, g_array_index(gone, uint64_t, i));
+    for (guint i = 0; i < absent->len; i++) {
+        gate_drop_entry(gate, g_array_index(absent, uint64_t, i));
     }
-    g_array_free(gone, TRUE);
+    g_array_free(absent, TRUE);
 }
 
-/* Follows a new bundle or epoch. */
+/* Applies a new bundle or epoch: closes, updates and cleans up gates. */
 void
 entry_update_gates(struct entry_core *core, uint64_t now)
 {
@@ -161,13 +161,14 @@
     g_hash_table_iter_init(&iter, core->gates);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         struct gate *gate = value;
-        const struct bundle_service *s = find_service(core, gate->service);
+        const struct bundle_service *s =
+            find_request_service(core, gate->service);
 
-        if (s == NULL || !is_gate(core, gate->service)) {
+        if (s == NULL || !may_gate(core, gate->service)) {
             g_hash_table_iter_remove(&iter);
             continue;
         }
         gate_set_upstreams(gate, now, s);
-        drop_missing(core, gate);
+        release_absent_entries(core, gate);
     }
 }
--- a/entry-handover.c
+++ b/entry-handover.c
@@ -1,16 +1,15 @@
 /*
- * A planned stop hands the records of keys to the entries that hold them in
- * the first epoch without the stopping one, so that its going takes no
- * majority away. Sent again until each receiver has confirmed all.
+ * A stopping entry transfers its claim records to their replicas in the first
+ * epoch without it, so that each key keeps its majority. Records are resent
+ * until each receiver acknowledged all.
  */
 #include "entry-internal.h"
 
-#define HANDOVER_RESEND_MS 200U
-#define HANDOVER_BATCH 256U
+#define HANDOVER_RESEND_INTERVAL_MS 200U
+#define HANDOVER_BATCH_RECORDS 256U
 
-/* Frees the handovers. */
 void
-entry_forget_handovers(struct entry_core *core)
+entry_free_handovers(struct entry_core *core)
 {
     for (guint i = 0; i < core->handovers->len; i++) {
         struct entry_handover *handover =
@@ -22,27 +21,28 @@
     g_ptr_array_set_size(core->handovers, 0);
 }
 
-/* Lists what each entry of the epoch must get. */
+/* Selects the records for each member of the epoch. */
 static void
-list_handovers(struct entry_core *core)
+start_handovers(struct entry_core *core)
 {
-    entry_forget_handovers(core);
+    entry_free_handovers(core);
     core->handover_epoch = core->epoch;
-    for (size_t i = 0; i < core->active.count; i++) {
+    for (size_t i = 0; i < core->active_members.count; i++) {
         struct entry_handover *handover = g_new0(struct entry_handover, 1);
 
-        handover->receiver = core->active.items[i].id;
+        handover->receiver = core->active_members.items[i].id;
         handover->records = g_ptr_array_new();
-        claim_list_handover(&core->claims, &core->active_before, &core->active,
-                            handover->receiver, handover->records);
+        claim_list_handover(&core->claims, &core->prev_active_members,
+                            &core->active_members, handover->receiver,
+                            handover->records);
         g_ptr_array_add(core->handovers, handover);
     }
 }
 
-/* Sends one record, or that there is none. */
+/* Sends one record, or an empty message when there are none. */
 static void
-send_one(struct entry_core *core, const struct entry_handover *handover,
-         guint sequence)
+send_record(struct entry_core *core, const struct entry_handover *handover,
+            guint sequence)
 {
     wire_absorbed absorbed[WIRE_ABSORBED_MAX];
     wire_msg msg = {.kind = WIRE_HANDOVER};
@@ -50,7 +50,7 @@
 
     out->sender = core->self.id;
     out->epoch = core->handover_epoch;
-    out->before = core->active_before.epoch;
+    out->before = core->prev_active_members.epoch;
     if (sequence == 0) {
         out->absorbed.absorbed_len =
             claim_list_absorbed(&core->claims, absorbed);
@@ -69,48 +69,47 @@
     entry_send_peer(core, handover->receiver, &msg);
 }
 
-/* Sends a batch to one receiver, from what it has confirmed on. */
+/* Sends the next batch, starting after the acknowledged records. */
 static void
 send_batch(struct entry_core *core, struct entry_handover *handover)
 {
     guint total = handover->records->len;
 
     if (total == 0) {
-        send_one(core, handover, 0);
+        send_record(core, handover, 0);
         return;
     }
-    for (guint i = 0; i < MIN(total, HANDOVER_BATCH); i++) {
-        send_one(core, handover, (handover->received + i) % total);
+    for (guint i = 0; i < MIN(total, HANDOVER_BATCH_RECORDS); i++) {
+        send_record(core, handover, (handover->acked + i) % total);
     }
 }
 
-/* Lets time pass: the handover begins once the epoch has no place for this
- * entry, since only then no new record can come. */
+/* Starts the handover in the first epoch without this entry: from then on it
+ * gets no new claims. */
 void
 entry_tick_handover(struct entry_core *core, uint64_t now)
 {
     if (!core->stopping || core->epoch == 0 ||
-        member_find(&core->active, core->self.id) != NULL) {
+        member_find(&core->active_members, core->self.id) != NULL) {
         return;
     }
     if (core->handover_epoch != core->epoch) {
-        list_handovers(core);
+        start_handovers(core);
     }
     for (guint i = 0; i < core->handovers->len; i++) {
         struct entry_handover *handover =
             g_ptr_array_index(core->handovers, i);
 
         if (!handover->done && now >= handover->resend_at) {
-            handover->resend_at = now + HANDOVER_RESEND_MS;
+            handover->resend_at = now + HANDOVER_RESEND_INTERVAL_MS;
             send_batch(core, handover);
         }
     }
 }
 
-/* Takes a record of a stopping entry. */
 void
-entry_take_handover(struct entry_core *core, uint64_t wall,
-                    const wire_handover *handover)
+entry_handle_handover(struct entry_core *core, uint64_t wall,
+                      const wire_handover *handover)
 {
     wire_msg msg = {.kind = WIRE_HANDOVER_ACK};
     wire_handover_ack *ack = &msg.wire_msg_u.handover_ack;
@@ -121,9 +120,9 @@
     entry_send_peer(core, handover->sender, &msg);
 }
 
-/* Takes a confirmation. */
 void
-entry_take_handover_ack(struct entry_core *core, const wire_handover_ack *ack)
+entry_handle_handover_ack(struct entry_core *core,
+                          const wire_handover_ack *ack)
 {
     for (guint i = 0; i < core->handovers->len; i++) {
         struct entry_handover *handover =
@@ -131,15 +130,14 @@
 
         if (handover->receiver == ack->receiver &&
             ack->epoch == core->handover_epoch) {
-            handover->received = MAX(handover->received, ack->received);
-            handover->done = handover->received >= handover->records->len;
+            handover->acked = MAX(handover->acked, ack->received);
+            handover->done = handover->acked >= handover->records->len;
         }
     }
 }
 
-/* Says whether every receiver has confirmed all records. */
 bool
-entry_is_handed_over(const struct entry_core *core)
+entry_handover_is_done(const struct entry_core *core)
 {
     if (core->handover_epoch != core->epoch) {
         return false;
--- a/entry-http.c
+++ b/entry-http.c
@@ -1,6 +1,6 @@
 /*
- * HTTP of an entry, by ulfius: requests of callers by their Host, and the
- * operators' pages under /.ridgeridge.
+ * HTTP server of an entry (ulfius): requests of callers, routed by Host, and
+ * the operators' pages under /.ridgeridge.
  */
 #include <arpa/inet.h>
 #include <microhttpd.h>
@@ -20,29 +20,29 @@
 #include "page.h"
 #include "problem.h"
 
-#define BODY_MAX (1024U * 1024)
-#define DEADLINE_DEFAULT_MS 10000U
+#define BODY_MAX (1024U * 1024) /* bytes of a request */
+#define DEFAULT_DEADLINE_MS 10000U
 
-/* A question of an operator on its way to the loop's thread. */
-struct question {
+/* An operator's request, passed to the event loop's thread. */
+struct operator_query {
     struct entry *entry;
     uint64_t subject;
     const char *service;
-    json_object *out;
-    json_object *(*ask)(struct question *question);
+    json_object *result;
+    json_object *(*run)(struct operator_query *query);
 };
 
-/* A call on its way to the loop's thread. */
-struct begin {
+/* Start or end of a transaction, passed to the event loop's thread. */
+struct transaction_event {
     struct entry *entry;
-    struct entry_call *call;
+    struct entry_transaction *txn;
     const char *host;
-    bool found;
+    bool ok; /* start: service found; end: within its latency objective */
 };
 
-/* Writes a Host in lower case and without its port. */
+/* Lower case, without the port. */
 static void
-plain_host(const char *host, char *out, size_t size)
+normalize_host(const char *host, char *out, size_t size)
 {
     size_t length = MIN(strcspn(host, ":"), size - 1);
 
@@ -52,7 +52,7 @@
     out[length] = '\0';
 }
 
-/* Says whether a method may be repeated (RFC 9110, 9.2.1). */
+/* Safe methods (RFC 9110, 9.2.1). */
 static bool
 is_safe(const char *method)
 {
@@ -60,9 +60,10 @@
            strcmp(method, "OPTIONS") == 0;
 }
 
-/* Reads the deadline, an absolute time; the default when there is none. */
+/* Request-Deadline is ms since 1970; an invalid one becomes UINT64_MAX, which
+ * the core refuses. */
 static void
-read_deadline(const struct _u_request *request, struct request_spec *spec)
+parse_deadline(const struct _u_request *request, struct request_spec *spec)
 {
     const char *text =
         library_ulfius.map_get_case(request->map_header, "Request-Deadline");
@@ -70,7 +71,7 @@
     uint64_t wall = loop_wall();
     char *end = NULL;
 
-    spec->wall_deadline = wall + DEADLINE_DEFAULT_MS;
+    spec->wall_deadline = wall + DEFAULT_DEADLINE_MS;
     if (text != NULL) {
         spec->wall_deadline = strtoull(text, &end, 10);
         if (*text == '\0' || *end != '\0') {
@@ -84,99 +85,100 @@
     }
 }
 
-/* Fills what the core needs to know of a request. */
 static void
-fill_spec(const struct _u_request *request, struct request_spec *spec)
+parse_request(const struct _u_request *request, struct request_spec *spec)
 {
     const char *key =
         library_ulfius.map_get_case(request->map_header, "Idempotency-Key");
     char host[BUNDLE_NAME_MAX + 1];
-    char *head =
+    char *request_line =
         g_strdup_printf("%s %s", request->http_verb, request->http_url);
     char caller[INET6_ADDRSTRLEN] = "";
 
     spec->safe = is_safe(request->http_verb);
     spec->keyed = !spec->safe && key != NULL && *key != '\0';
     if (spec->keyed) {
-        plain_host(library_ulfius.map_get_case(request->map_header, "Host"),
-                   host, sizeof(host));
+        normalize_host(
+            library_ulfius.map_get_case(request->map_header, "Host"), host,
+            sizeof(host));
         auth_hash_key(host, key, spec->key);
     }
-    auth_hash_two(head, request->binary_body, request->binary_body_length,
-                  spec->digest);
+    auth_hash_two(request_line, request->binary_body,
+                  request->binary_body_length, spec->digest);
     if (request->client_address != NULL) {
-        const struct sockaddr_in *from =
+        const struct sockaddr_in *address =
             (const struct sockaddr_in *)request->client_address;
 
-        (void)inet_ntop(AF_INET, &from->sin_addr, caller, sizeof(caller));
+        (void)inet_ntop(AF_INET, &address->sin_addr, caller, sizeof(caller));
     }
     if (!spec->keyed) {
-        auth_hash_key(caller, head, spec->key);
+        auth_hash_key(caller, request_line, spec->key);
     }
     spec->subject = hash_bytes(HASH_KEY, spec->key, WIRE_KEY);
-    read_deadline(request, spec);
-    g_free(head);
+    parse_deadline(request, spec);
+    g_free(request_line);
 }
 
-/* Begins a call, on the loop's thread. */
+/* Starts a request at the core; runs on the event loop's thread. */
 static void
-on_begin(void *data)
+on_started(void *data)
 {
-    struct begin *begin = data;
-    struct entry *entry = begin->entry;
-    struct entry_call *call = begin->call;
+    struct transaction_event *event = data;
+    struct entry *entry = event->entry;
+    struct entry_transaction *txn = event->txn;
     const struct bundle_service *service =
-        entry_core_find_host(entry->core, begin->host);
+        entry_core_find_host(entry->core, event->host);
 
     if (service == NULL) {
         return;
     }
-    begin->found = true;
-    g_strlcpy(call->service, service->name, sizeof(call->service));
-    call->within_ms = service->objective.within_ms;
-    call->spec.service = hash_name(service->name);
-    call->spec.token = ++entry->next_token;
-    g_hash_table_insert(entry->calls, &call->spec.token, call);
-    entry_core_request(entry->core, loop_now(), loop_wall(), &call->spec);
-    entry_act(entry);
+    event->ok = true;
+    g_strlcpy(txn->service, service->name, sizeof(txn->service));
+    txn->objective_ms = service->objective.within_ms;
+    txn->spec.service = hash_name(service->name);
+    txn->spec.token = ++entry->last_token;
+    g_hash_table_insert(entry->transactions, &txn->spec.token, txn);
+    entry_core_start_request(entry->core, loop_now(), loop_wall(), &txn->spec);
+    entry_run_actions(entry);
 }
 
-/* Notes whether a request was good, on the loop's thread. */
+/* Counts a good or bad event for the burn rate; runs on the event loop's
+ * thread. */
 static void
-on_burn(void *data)
+on_finished(void *data)
 {
-    struct begin *begin = data;
-    bool good =
-        begin->call->outcome.kind == WIRE_OUTCOME_ANSWERED && begin->found;
+    struct transaction_event *event = data;
+    bool good = event->txn->outcome.kind == WIRE_OUTCOME_ANSWERED && event->ok;
 
-    burn_count(begin->entry->burn, begin->call->service, good);
+    burn_count(event->entry->burn, event->txn->service, good);
     if (good) {
-        counter_add(&begin->entry->counters, COUNTER_REQUESTS_IN_TIME, 1);
+        counter_add(&event->entry->counters, COUNTER_REQUESTS_IN_TIME, 1);
     }
 }
 
-/* Serves a request of a service; false when its Host has none. */
+/* False when no service has this Host. */
 static bool
-serve(struct entry *entry, const struct _u_request *request,
-      struct _u_response *response, const char *host)
+serve_request(struct entry *entry, const struct _u_request *request,
+              struct _u_response *response, const char *host)
 {
-    struct entry_call call = {.answered = false};
-    struct begin begin = {.entry = entry, .call = &call, .host = host};
+    struct entry_transaction txn = {.answered = false};
+    struct transaction_event event = {
+        .entry = entry, .txn = &txn, .host = host};
     uint64_t started = loop_now();
 
-    fill_spec(request, &call.spec);
-    loop_call(on_begin, &begin);
-    if (!begin.found) {
+    parse_request(request, &txn.spec);
+    loop_call(on_started, &event);
+    if (!event.ok) {
         return false;
     }
-    entry_call_upstream(entry, &call, request, response);
-    begin.found = loop_now() - started <= call.within_ms;
-    loop_call(on_burn, &begin);
-    g_free(call.outcome.body.body_val);
+    entry_proxy_request(entry, &txn, request, response);
+    event.ok = loop_now() - started <= txn.objective_ms;
+    loop_call(on_finished, &event);
+    g_free(txn.outcome.body.body_val);
     return true;
 }
 
-/* Any request that is not an operator's. */
+/* Serves callers' requests. */
 static int
 on_request(const struct _u_request *request, struct _u_response *response,
            void *data)
@@ -194,22 +196,22 @@
                      "not-run", 0);
         return U_CALLBACK_COMPLETE;
     }
-    if (g_atomic_int_add(&entry->held_calls, 1) >=
+    if (g_atomic_int_add(&entry->open_transactions, 1) >=
         (int)entry->settings.request_threads) {
         problem_fill(response, 503, ring_rule_name(RULE_QUEUE_FULL),
-                     "this entry holds as many requests as its settings "
-                     "allow",
+                     "all request_threads of this entry are busy; retry "
+                     "later",
                      "not-run", 1000);
         served = true;
     }
     else {
-        served = serve(entry, request, response, host);
+        served = serve_request(entry, request, response, host);
     }
     if (entry->core->stopping) {
         (void)library_ulfius.map_put(response->map_header, "Connection",
                                      "close");
     }
-    (void)g_atomic_int_add(&entry->held_calls, -1);
+    (void)g_atomic_int_add(&entry->open_transactions, -1);
     if (!served) {
         problem_fill(response, 404, ring_rule_name(RULE_NO_SERVICE),
                      "no request service has this Host", "not-run", 0);
@@ -217,54 +219,50 @@
     return U_CALLBACK_COMPLETE;
 }
 
-/* Asks on the loop's thread. */
+/* Runs on the event loop's thread. */
 static void
-on_question(void *data)
+on_query(void *data)
 {
-    struct question *question = data;
+    struct operator_query *query = data;
 
-    question->out = question->ask(question);
+    query->result = query->run(query);
 }
 
-/* Asks for the status. */
 static json_object *
-ask_status(struct question *question)
+query_status(struct operator_query *query)
 {
-    return entry_status(question->entry);
+    return entry_status(query->entry);
 }
 
-/* Asks for decisions about a subject. */
 static json_object *
-ask_explain(struct question *question)
+query_explain(struct operator_query *query)
 {
-    return entry_explain(question->entry, question->subject);
+    return entry_explain(query->entry, query->subject);
 }
 
-/* Asks what would be decided now. */
 static json_object *
-ask_decide(struct question *question)
+query_decide(struct operator_query *query)
 {
-    return entry_decide(question->entry, question->service, question->subject);
+    return entry_decide(query->entry, query->service, query->subject);
 }
 
-/* Asks for the burn. */
 static json_object *
-ask_burn(struct question *question)
+query_burn(struct operator_query *query)
 {
-    return burn_json(question->entry->burn);
+    return burn_json(query->entry->burn);
 }
 
-/* Serves one question of an operator. */
+/* Serves an operator's request after checking the bearer token. */
 static int
-serve_question(const struct _u_request *request, struct _u_response *response,
-               struct entry *entry,
-               json_object *(*ask)(struct question *question))
+serve_query(const struct _u_request *request, struct _u_response *response,
+            struct entry *entry,
+            json_object *(*run)(struct operator_query *query))
 {
     const char *subject = library_ulfius.map_get(request->map_url, "subject");
-    struct question question = {
+    struct operator_query query = {
         .entry = entry,
         .service = library_ulfius.map_get(request->map_url, "service"),
-        .ask = ask};
+        .run = run};
 
     if (auth_operator(&entry->settings, request) == NULL) {
         problem_fill(response, 401, "unauthorized",
@@ -273,46 +271,42 @@
         return U_CALLBACK_COMPLETE;
     }
     if (subject != NULL) {
-        question.subject = strtoull(subject, NULL, 16);
+        query.subject = strtoull(subject, NULL, 16);
     }
-    loop_call(on_question, &question);
-    page_json(response, question.out);
+    loop_call(on_query, &query);
+    page_json(response, query.result);
     return U_CALLBACK_COMPLETE;
 }
 
-/* The status page. */
 static int
 on_status(const struct _u_request *request, struct _u_response *response,
           void *data)
 {
-    return serve_question(request, response, data, ask_status);
+    return serve_query(request, response, data, query_status);
 }
 
-/* The page of recorded decisions. */
 static int
 on_explain(const struct _u_request *request, struct _u_response *response,
            void *data)
 {
-    return serve_question(request, response, data, ask_explain);
+    return serve_query(request, response, data, query_explain);
 }
 
-/* The page of what would be decided now. */
 static int
 on_decide(const struct _u_request *request, struct _u_response *response,
           void *data)
 {
-    return serve_question(request, response, data, ask_decide);
+    return serve_query(request, response, data, query_decide);
 }
 
-/* The page of the burn. */
 static int
 on_burn_page(const struct _u_request *request, struct _u_response *response,
              void *data)
 {
-    return serve_question(request, response, data, ask_burn);
+    return serve_query(request, response, data, query_burn);
 }
 
-/* The counters, as Prometheus text. */
+/* Prometheus text format; needs no token. */
 static int
 on_metrics(const struct _u_request *request, struct _u_response *response,
            void *data)
@@ -324,7 +318,7 @@
     return U_CALLBACK_COMPLETE;
 }
 
-/* The pages; the last takes all other paths. */
+/* The last route matches all other paths. */
 static const struct page_route routes[] = {
     {"GET", "/.ridgeridge", "/status", &on_status},
     {"GET", "/.ridgeridge", "/explain", &on_explain},
@@ -334,7 +328,6 @@
     {NULL, NULL, NULL, &on_request},
 };
 
-/* Opens HTTP. */
 enum status_kind
 entry_open_http(struct entry *entry, struct status *st)
 {
@@ -345,7 +338,7 @@
     return kind;
 }
 
-/* Takes no new connections; those that are open are served on. */
+/* Closes the listening socket; open connections are still served. */
 void
 entry_quiesce_http(struct entry *entry)
 {
@@ -356,7 +349,7 @@
     }
 }
 
-/* Closes HTTP, after the last call was answered. */
+/* Called once no request is in progress. */
 void
 entry_close_http(struct entry *entry)
 {
--- a/entry-lease.c
+++ b/entry-lease.c
@@ -1,6 +1,6 @@
 /*
- * An entry and control: reports, leases, and the bundle and epoch in force.
- * Only higher versions, steps and epochs are ever taken.
+ * An entry's protocol with control: reports, leases (Gray and Cheriton, 1989),
+ * and fetches of bundles and epochs. Versions, steps and epochs only increase.
  */
 #include <string.h>
 
@@ -8,38 +8,37 @@
 #include "entry-internal.h"
 #include "hash.h"
 
-#define REPORTS_UNANSWERED 2 /* then another replica is asked */
+#define UNANSWERED_REPORTS_MAX 2 /* before the next replica is tried */
 
-/* The replica that reports go to. */
 static uint32_t
-target(const struct entry_core *core)
+report_target(const struct entry_core *core)
 {
     return core->leader != 0
                ? core->leader
-               : core->controls[core->control_next % core->control_count];
+               : core->controls[core->next_control % core->control_count];
 }
 
-/* The step as control is told: LEARNED once all records are confirmed. */
+/* MOVE becomes LEARNED once the keepers acknowledged all records. */
 static enum flow_step
 reported_step(const struct entry_core *core)
 {
     enum flow_step step = flow_step(core->flow);
 
-    return step == FLOW_STEP_MOVE && entry_is_pushed(core) ? FLOW_STEP_LEARNED
-                                                           : step;
+    return step == FLOW_STEP_MOVE && entry_records_confirmed(core)
+               ? FLOW_STEP_LEARNED
+               : step;
 }
 
-/* Sends a report. */
 static void
 send_report(struct entry_core *core, uint64_t now, bool gone)
 {
     wire_msg msg = {.kind = WIRE_REPORT};
     wire_report *report = &msg.wire_msg_u.report;
 
-    if (core->unanswered >= REPORTS_UNANSWERED) {
+    if (core->unanswered_reports >= UNANSWERED_REPORTS_MAX) {
         core->leader = 0;
-        core->control_next++;
-        core->unanswered = 0;
+        core->next_control++;
+        core->unanswered_reports = 0;
     }
     report->self = core->self;
     report->bundle_version = flow_version(core->flow);
@@ -47,14 +46,13 @@
     report->epoch = core->epoch;
     report->sent_at = now;
     report->gone = gone;
-    entry_send_control(core, target(core), &msg);
-    core->unanswered++;
-    core->report_at = now + ENTRY_REPORT_MS;
+    entry_send_control(core, report_target(core), &msg);
+    core->unanswered_reports++;
+    core->report_at = now + ENTRY_REPORT_INTERVAL_MS;
 }
 
-/* Ends the lease and tells control. */
 void
-entry_core_leave(struct entry_core *core, uint64_t now)
+entry_core_deregister(struct entry_core *core, uint64_t now)
 {
     core->lease_deadline = 0;
     core->requests.lease_deadline = 0;
@@ -62,37 +60,38 @@
     send_report(core, now, true);
 }
 
-/* Fetches what control has told of and this entry lacks. */
+/* Requests the announced bundle and epoch if newer than those in force. */
 static void
-fetch(struct entry_core *core, uint64_t now, uint64_t version, uint64_t epoch)
+fetch_missing(struct entry_core *core, uint64_t now, uint64_t version,
+              uint64_t epoch)
 {
     wire_msg msg = {.kind = WIRE_FETCH};
     wire_fetch *out = &msg.wire_msg_u.fetch;
 
     if (version > flow_version(core->flow) && now >= core->bundle_fetch_at) {
         out->bundle_version = version;
-        core->bundle_fetch_at = now + ENTRY_FETCH_MS;
+        core->bundle_fetch_at = now + ENTRY_FETCH_INTERVAL_MS;
     }
     if (epoch > core->epoch && now >= core->epoch_fetch_at) {
         out->epoch = epoch;
         out->have_epoch = core->epoch;
-        core->epoch_fetch_at = now + ENTRY_FETCH_MS;
+        core->epoch_fetch_at = now + ENTRY_FETCH_INTERVAL_MS;
     }
     if (out->bundle_version != 0 || out->epoch != 0) {
         out->entry = core->self.id;
-        entry_send_control(core, target(core), &msg);
+        entry_send_control(core, report_target(core), &msg);
     }
 }
 
-/* Sends a report when it is time, or when something was learned. */
+/* Reports periodically, and at once when the step becomes LEARNED. */
 void
 entry_tick_lease(struct entry_core *core, uint64_t now)
 {
-    bool learned = core->told_step == FLOW_STEP_MOVE &&
+    bool learned = core->announced_step == FLOW_STEP_MOVE &&
                    reported_step(core) == FLOW_STEP_LEARNED;
 
     if (learned) {
-        core->told_step = FLOW_STEP_LEARNED;
+        core->announced_step = FLOW_STEP_LEARNED;
         core->report_at = now;
     }
     if (now >= core->report_at) {
@@ -100,7 +99,8 @@
     }
 }
 
-/* Takes a lease: it counts from when the report was sent. */
+/* The lease counts from the sending of the report, so it ends here no later
+ * than at control. */
 static void
 extend_lease(struct entry_core *core, uint64_t now, const wire_lease *lease)
 {
@@ -115,43 +115,45 @@
     counter_add(core->counters, COUNTER_LEASES, 1);
 }
 
-/* Follows the version and step that control tells of. */
+/* Updates the announced version and step, and advances the rollout step. */
 static void
-follow_version(struct entry_core *core, uint64_t now, const wire_lease *lease)
+update_version(struct entry_core *core, uint64_t now, const wire_lease *lease)
 {
-    if (lease->bundle_version > core->told_version) {
-        core->told_version = lease->bundle_version;
-        core->told_step = 0;
-        memcpy(core->told_digest, lease->digest, sizeof(core->told_digest));
+    if (lease->bundle_version > core->announced_version) {
+        core->announced_version = lease->bundle_version;
+        core->announced_step = 0;
+        memcpy(core->announced_digest, lease->digest,
+               sizeof(core->announced_digest));
     }
-    if (lease->bundle_version != core->told_version) {
+    if (lease->bundle_version != core->announced_version) {
         return;
     }
-    core->told_step = MAX(core->told_step, lease->step);
+    core->announced_step = MAX(core->announced_step, lease->step);
     if (lease->bundle_version == flow_version(core->flow) &&
         flow_advance(core->flow, now, (enum flow_step)lease->step)) {
         core->report_at = now;
     }
 }
 
-/* Takes a lease or a notice. */
+/* Handles a lease of the leader, or the redirect of another replica. */
 void
-entry_take_lease(struct entry_core *core, uint64_t now,
-                 const wire_lease *lease)
+entry_handle_lease(struct entry_core *core, uint64_t now,
+                   const wire_lease *lease)
 {
     bool redirected;
 
-    if (lease->term < core->term || (lease->leader == lease->replica &&
-                                     lease->bundle_version < core->floor)) {
+    if (lease->term < core->term ||
+        (lease->leader == lease->replica &&
+         lease->bundle_version < core->min_version)) {
         counter_add(core->counters, COUNTER_MSGS_STALE, 1);
         return;
     }
     core->term = lease->term;
-    core->unanswered = 0;
+    core->unanswered_reports = 0;
     redirected = lease->leader != 0 && lease->leader != core->leader;
     core->leader = lease->leader;
     if (lease->leader == 0) {
-        core->control_next++;
+        core->next_control++;
     }
     if (lease->leader != lease->replica) {
         if (redirected) {
@@ -160,42 +162,43 @@
         return;
     }
     extend_lease(core, now, lease);
-    follow_version(core, now, lease);
-    fetch(core, now, lease->bundle_version, lease->epoch);
+    update_version(core, now, lease);
+    fetch_missing(core, now, lease->bundle_version, lease->epoch);
 }
 
-/* Reads a bundle's text into the core. */
+/* Parses a bundle and its predecessor and puts them in force. */
 bool
-entry_apply_text(struct entry_core *core, uint64_t now, const char *text,
-                 const char *prev_text, uint32_t step)
+entry_apply_bundle(struct entry_core *core, uint64_t now, const char *text,
+                   const char *prev_text, uint32_t step)
 {
     struct bundle bundle;
-    struct bundle before;
+    struct bundle prev_bundle;
     struct status st;
-    bool has_before = false;
+    bool has_prev_bundle = false;
 
     if (bundle_read("bundle", text, strlen(text), &bundle, &st) != STATUS_OK) {
         return false;
     }
-    memset(&before, 0, sizeof(before));
+    memset(&prev_bundle, 0, sizeof(prev_bundle));
     if (prev_text != NULL && prev_text[0] != '\0') {
-        has_before = bundle_read("bundle", prev_text, strlen(prev_text),
-                                 &before, &st) == STATUS_OK;
+        has_prev_bundle = bundle_read("bundle", prev_text, strlen(prev_text),
+                                      &prev_bundle, &st) == STATUS_OK;
     }
-    if (!flow_apply(core->flow, now, &bundle, has_before ? &before : NULL,
+    if (!flow_apply(core->flow, now, &bundle,
+                    has_prev_bundle ? &prev_bundle : NULL,
                     (enum flow_step)step)) {
         bundle_free(&bundle);
-        bundle_free(&before);
+        bundle_free(&prev_bundle);
         return false;
     }
     if (bundle.base == 0) {
         request_drop_old_epochs(&core->requests);
     }
     bundle_free(&core->bundle);
-    bundle_free(&core->before);
+    bundle_free(&core->prev_bundle);
     core->bundle = bundle;
-    core->before = before;
-    core->has_before = has_before;
+    core->prev_bundle = prev_bundle;
+    core->has_prev_bundle = has_prev_bundle;
     core->requests.version = bundle.version;
     g_free(core->text);
     core->text = g_strdup(text);
@@ -203,49 +206,49 @@
     return true;
 }
 
-/* Takes a bundle that was fetched. */
+/* Applies a fetched bundle if its digest is the announced one. */
 void
-entry_take_bundle(struct entry_core *core, uint64_t now,
-                  const wire_bundle *bundle)
+entry_handle_bundle(struct entry_core *core, uint64_t now,
+                    const wire_bundle *bundle)
 {
-    struct entry_action action = {.kind = ENTRY_SAVE};
+    struct entry_action action = {.kind = ENTRY_SAVE_BUNDLE};
     unsigned char digest[BUNDLE_DIGEST_BYTES];
 
-    if (bundle->bundle_version != core->told_version ||
+    if (bundle->bundle_version != core->announced_version ||
         bundle->bundle_version <= flow_version(core->flow)) {
         counter_add(core->counters, COUNTER_MSGS_STALE, 1);
         return;
     }
     bundle_digest(bundle->text, strlen(bundle->text), digest);
-    if (memcmp(digest, core->told_digest, sizeof(digest)) != 0) {
+    if (memcmp(digest, core->announced_digest, sizeof(digest)) != 0) {
         counter_add(core->counters, COUNTER_MSGS_MALFORMED, 1);
         return;
     }
-    if (entry_apply_text(core, now, bundle->text, bundle->prev_text,
-                         MAX(core->told_step, FLOW_STEP_ANNOUNCE))) {
+    if (entry_apply_bundle(core, now, bundle->text, bundle->prev_text,
+                           MAX(core->announced_step, FLOW_STEP_ANNOUNCE))) {
         core->report_at = now;
         g_array_append_val(core->actions, action);
     }
 }
 
-/* Remembers the version of an earlier run. Its text is not applied: without
- * the bundle before it, flows of buckets that were moving would be lost. */
+/* Takes the version of the saved bundle as lower bound. The bundle is not
+ * applied: without its predecessor, flows in moving buckets would break. */
 void
-entry_set_floor(struct entry_core *core, const char *saved_text)
+entry_set_min_version(struct entry_core *core, const char *saved_text)
 {
     struct bundle bundle;
     struct status st;
 
     if (bundle_read("saved bundle", saved_text, strlen(saved_text), &bundle,
                     &st) == STATUS_OK) {
-        core->floor = bundle.version;
+        core->min_version = bundle.version;
         bundle_free(&bundle);
     }
 }
 
-/* Makes members of what control sent, without stopping ones on demand. */
 static void
-read_epoch(const wire_epoch *epoch, bool with_stopping, struct member_set *out)
+copy_members(const wire_epoch *epoch, bool with_stopping,
+             struct member_set *out)
 {
     GArray *members = g_array_new(FALSE, FALSE, sizeof(struct member));
 
@@ -269,10 +272,10 @@
     g_array_free(members, TRUE);
 }
 
-/* Takes epochs that were fetched. */
+/* Applies fetched epochs; the first is the one in force. */
 void
-entry_take_epochs(struct entry_core *core, uint64_t now,
-                  const wire_epochs *epochs)
+entry_handle_epochs(struct entry_core *core, uint64_t now,
+                    const wire_epochs *epochs)
 {
     u_int count = epochs->epochs.epochs_len;
     const wire_epoch *all = epochs->epochs.epochs_val;
@@ -284,17 +287,18 @@
         return;
     }
     core->epoch = all[0].number;
-    read_epoch(&all[0], true, &core->all);
-    if (member_find(&core->active, core->self.id) != NULL) {
-        member_set_assign(&core->active_before, core->active.epoch,
-                          core->active.items, core->active.count);
+    copy_members(&all[0], true, &core->members);
+    if (member_find(&core->active_members, core->self.id) != NULL) {
+        member_set_assign(
+            &core->prev_active_members, core->active_members.epoch,
+            core->active_members.items, core->active_members.count);
     }
-    read_epoch(&all[0], false, &core->active);
+    copy_members(&all[0], false, &core->active_members);
     for (u_int i = 0; i < count; i++) {
-        read_epoch(&all[i], false, &sets[i]);
+        copy_members(&all[i], false, &sets[i]);
     }
-    flow_set_members(core->flow, now, &core->active);
-    request_set_epochs(&core->requests, now, &core->all, sets,
+    flow_set_members(core->flow, now, &core->active_members);
+    request_set_epochs(&core->requests, now, &core->members, sets,
                        epochs->ended_ago.ended_ago_val, count);
     entry_update_gates(core, now);
     for (u_int i = 0; i < count; i++) {
--- a/entry-packets.c
+++ b/entry-packets.c
@@ -1,6 +1,6 @@
 /*
- * Packets: batches from the fabric socket through flow_steer() and out, with
- * recvmmsg and sendmmsg.
+ * Data plane of an entry: receives Geneve packets from the fabric in batches
+ * (recvmmsg), steers them with flow_steer() and sends them (sendmmsg).
  */
 #include <arpa/inet.h>
 #include <errno.h>
@@ -12,28 +12,27 @@
 #include "loop.h"
 #include "packet.h"
 
-#define BATCH 64
-#define BATCHES_A_TURN 8 /* then other events have their turn */
-#define SOCKET_BUFFER (4 * 1024 * 1024)
+#define BATCH_PACKETS 64
+#define BATCHES_PER_WAKEUP 8 /* before the loop polls other events */
+#define SOCKET_BUFFER (4 * 1024 * 1024) /* bytes */
 
-/* One batch of packets. */
 struct batch {
-    uint8_t buffers[BATCH][PACKET_HEADROOM + PACKET_MAX];
-    struct iovec in[BATCH];
-    struct iovec out[BATCH];
-    struct sockaddr_in to[BATCH];
-    struct mmsghdr received[BATCH];
-    struct mmsghdr sent[BATCH];
-    struct packet packets[BATCH];
-    bool good[BATCH];
+    uint8_t buffers[BATCH_PACKETS][PACKET_HEADROOM + PACKET_MAX];
+    struct iovec in[BATCH_PACKETS];
+    struct iovec out[BATCH_PACKETS];
+    struct sockaddr_in to[BATCH_PACKETS];
+    struct mmsghdr received[BATCH_PACKETS];
+    struct mmsghdr sent[BATCH_PACKETS];
+    struct packet packets[BATCH_PACKETS];
+    bool valid[BATCH_PACKETS];
     unsigned sent_count;
 };
 
 static struct batch batch;
 
-/* Addresses a packet that leaves. */
+/* Adds a packet to those that send_batch() sends. */
 static void
-send_to(uint32_t address, uint16_t port, uint8_t *bytes, size_t length)
+queue_packet(uint32_t address, uint16_t port, uint8_t *bytes, size_t length)
 {
     unsigned i = batch.sent_count++;
 
@@ -47,26 +46,27 @@
                                             .msg_iovlen = 1};
 }
 
-/* Sends a packet to the fabric, which routes it by its inner addresses. */
+/* The fabric routes a packet by its inner addresses. */
 static void
-send_to_fabric(struct entry *entry, struct packet *packet)
+queue_to_fabric(struct entry *entry, struct packet *packet)
 {
     size_t length;
     uint8_t *at = packet_encapsulate(packet, NULL, &length);
 
-    send_to(entry->settings.fabric.address,
-            (uint16_t)entry->settings.fabric.port, at, length);
+    queue_packet(entry->settings.fabric.address,
+                 (uint16_t)entry->settings.fabric.port, at, length);
 }
 
-/* Hands a packet to another entry. */
+/* Forwards a packet to another entry, with the Geneve forwarding option. */
 static void
-hand(struct entry *entry, struct packet *packet,
-     const struct flow_verdict *verdict)
+forward_to_entry(struct entry *entry, struct packet *packet,
+                 const struct flow_verdict *verdict)
 {
     struct packet_forwarding option = {.origin = verdict->origin,
                                        .position = verdict->position,
                                        .hops = verdict->hops};
-    const struct member *peer = member_find(&entry->core->all, verdict->peer);
+    const struct member *peer =
+        member_find(&entry->core->members, verdict->peer);
     size_t length;
     uint8_t *at;
 
@@ -75,56 +75,56 @@
     }
     memcpy(option.asked, verdict->asked, sizeof(option.asked));
     at = packet_encapsulate(packet, &option, &length);
-    send_to(peer->address, peer->fabric, at, length);
+    queue_packet(peer->address, peer->fabric, at, length);
 }
 
-/* Steers a packet on its way to an upstream. */
+/* Applies the steering verdict to a caller's packet. */
 static void
 steer(struct entry *entry, uint64_t now, uint64_t wall, uint16_t service,
       struct packet *packet)
 {
-    struct flow_packet question = {.hash = packet_hash(packet),
-                                   .origin = packet->forwarding.origin,
-                                   .service = service,
-                                   .first = packet->first,
-                                   .closing = packet->closing,
-                                   .handed = packet->handed,
-                                   .position = packet->forwarding.position,
-                                   .hops = packet->forwarding.hops};
+    struct flow_packet input = {.hash = packet_hash(packet),
+                                .origin = packet->forwarding.origin,
+                                .service = service,
+                                .first = packet->first,
+                                .closing = packet->closing,
+                                .handed = packet->handed,
+                                .position = packet->forwarding.position,
+                                .hops = packet->forwarding.hops};
     const struct flow_upstream *upstream;
     struct flow_verdict verdict;
 
-    memcpy(question.asked, packet->forwarding.asked, sizeof(question.asked));
-    flow_steer(entry->core->flow, now, wall, &question, &verdict);
+    memcpy(input.asked, packet->forwarding.asked, sizeof(input.asked));
+    flow_steer(entry->core->flow, now, wall, &input, &verdict);
     switch (verdict.action) {
     case FLOW_FORWARD:
         upstream = flow_upstream(entry->core->flow, verdict.upstream);
         packet_set_destination(packet, upstream->address, upstream->port);
-        send_to_fabric(entry, packet);
+        queue_to_fabric(entry, packet);
         counter_add(&entry->counters, COUNTER_PACKETS_FORWARDED, 1);
         return;
     case FLOW_HAND:
-        hand(entry, packet, &verdict);
+        forward_to_entry(entry, packet, &verdict);
         return;
     case FLOW_DROP:
         return;
     }
 }
 
-/* Sends a packet of an upstream back to its caller. */
+/* Source NAT: an upstream's packet gets the service's address. */
 static void
-send_back(struct entry *entry, uint16_t service, struct packet *packet)
+return_to_caller(struct entry *entry, uint16_t service, struct packet *packet)
 {
     uint32_t address;
     uint16_t port;
 
     flow_service_endpoint(entry->core->flow, service, &address, &port);
     packet_set_source(packet, address, port);
-    send_to_fabric(entry, packet);
+    queue_to_fabric(entry, packet);
     counter_add(&entry->counters, COUNTER_PACKETS_RETURNED, 1);
 }
 
-/* Parses one packet, and fetches its flow's record early. */
+/* Parses a packet and prefetches its flow record. */
 static bool
 parse_packet(struct entry *entry, uint8_t *bytes, size_t length,
              struct packet *packet)
@@ -138,10 +138,9 @@
     return true;
 }
 
-/* Takes one packet. */
 static void
-take_packet(struct entry *entry, uint64_t now, uint64_t wall,
-            struct packet *packet)
+handle_packet(struct entry *entry, uint64_t now, uint64_t wall,
+              struct packet *packet)
 {
     const struct flow *flow = entry->core->flow;
     int protocol = packet->protocol == PACKET_TCP ? BUNDLE_TCP : BUNDLE_UDP;
@@ -155,18 +154,17 @@
     service =
         flow_find_return(flow, packet->source, packet->source_port, protocol);
     if (service != FLOW_NO_SERVICE) {
-        send_back(entry, service, packet);
+        return_to_caller(entry, service, packet);
         return;
     }
     if (flow_version(flow) == 0) {
-        /* Without any bundle a peer may know the service. */
+        /* Before the first bundle, a peer may have the service. */
         steer(entry, now, wall, FLOW_NO_SERVICE, packet);
         return;
     }
     counter_add(&entry->counters, COUNTER_PACKETS_NO_SERVICE, 1);
 }
 
-/* Sends what the batch produced. */
 static void
 send_batch(struct entry *entry)
 {
@@ -177,7 +175,7 @@
                          batch.sent_count - done, MSG_DONTWAIT);
 
         if (n <= 0) {
-            /* One that cannot be sent must not hold up those behind it. */
+            /* Skips a packet that cannot be sent. */
             n = 1;
         }
         done += (unsigned)n;
@@ -185,54 +183,53 @@
     batch.sent_count = 0;
 }
 
-/* Receives one batch; returns how many packets it had. */
+/* Receives and handles one batch; returns its number of packets. */
 static int
-take_batch(struct entry *entry)
+receive_batch(struct entry *entry)
 {
     uint64_t now;
     uint64_t wall;
     int count;
 
-    for (int i = 0; i < BATCH; i++) {
+    for (int i = 0; i < BATCH_PACKETS; i++) {
         batch.in[i] =
             (struct iovec){.iov_base = batch.buffers[i] + PACKET_HEADROOM,
                            .iov_len = PACKET_MAX};
         batch.received[i].msg_hdr =
             (struct msghdr){.msg_iov = &batch.in[i], .msg_iovlen = 1};
     }
-    count =
-        recvmmsg(entry->fabric_fd, batch.received, BATCH, MSG_DONTWAIT, NULL);
+    count = recvmmsg(entry->fabric_fd, batch.received, BATCH_PACKETS,
+                     MSG_DONTWAIT, NULL);
     now = loop_now();
     wall = loop_wall();
     for (int i = 0; i < count; i++) {
-        batch.good[i] =
+        batch.valid[i] =
             parse_packet(entry, batch.in[i].iov_base,
                          batch.received[i].msg_len, &batch.packets[i]);
     }
     for (int i = 0; i < count; i++) {
-        if (batch.good[i]) {
-            take_packet(entry, now, wall, &batch.packets[i]);
+        if (batch.valid[i]) {
+            handle_packet(entry, now, wall, &batch.packets[i]);
         }
     }
     send_batch(entry);
     return count;
 }
 
-/* Takes what the socket holds, in a bounded number of batches. */
 static void
 on_packets(void *data)
 {
     struct entry *entry = data;
-    int turns = 0;
+    int batches = 0;
 
-    while (turns < BATCHES_A_TURN && take_batch(entry) == BATCH) {
-        turns++;
+    while (batches < BATCHES_PER_WAKEUP &&
+           receive_batch(entry) == BATCH_PACKETS) {
+        batches++;
     }
     entry_core_flush(entry->core);
-    entry_act(entry);
+    entry_run_actions(entry);
 }
 
-/* Opens the socket for packets. */
 enum status_kind
 entry_open_packets(struct entry *entry, struct status *st)
 {
--- a/entry-peers.c
+++ b/entry-peers.c
@@ -1,4 +1,4 @@
-/* Messages between entries: sealed XDR in UDP datagrams. */
+/* Messages between entries: encrypted XDR (RFC 4506) in UDP datagrams. */
 #include <arpa/inet.h>
 #include <errno.h>
 #include <sys/socket.h>
@@ -9,19 +9,18 @@
 #include "loop.h"
 #include "seal.h"
 
-#define DATAGRAM_MAX 65535
-#define DATAGRAMS_A_TURN 256
-#define SOCKET_BUFFER (4 * 1024 * 1024)
+#define DATAGRAM_MAX 65535 /* bytes */
+#define DATAGRAMS_PER_WAKEUP 256
+#define SOCKET_BUFFER (4 * 1024 * 1024) /* bytes */
 
-/* Says whether a message is about flows and so counts as control. */
+/* Flow messages count as control traffic, all others as requests. */
 static bool
-is_control(enum wire_kind kind)
+is_flow_message(enum wire_kind kind)
 {
     return kind == WIRE_RECORDS || kind == WIRE_RECORDS_ACK ||
            kind == WIRE_KNOWN;
 }
 
-/* Sends a message to another entry. */
 void
 entry_send_to_peer(struct entry *entry, const struct entry_action *action)
 {
@@ -32,17 +31,16 @@
         seal_close_message(action->bytes->data, action->bytes->len);
 
     counter_add(&entry->counters,
-                is_control(action->msg_kind) ? COUNTER_CONTROL_BYTES_OUT
-                                             : COUNTER_REQUEST_BYTES_OUT,
+                is_flow_message(action->msg_kind) ? COUNTER_CONTROL_BYTES_OUT
+                                                  : COUNTER_REQUEST_BYTES_OUT,
                 sealed->len);
     (void)sendto(entry->peer_fd, sealed->data, sealed->len, MSG_DONTWAIT,
                  (struct sockaddr *)&to, sizeof(to));
     g_byte_array_unref(sealed);
 }
 
-/* Takes one datagram. */
 static void
-take_datagram(struct entry *entry, const uint8_t *bytes, size_t length)
+handle_datagram(struct entry *entry, const uint8_t *bytes, size_t length)
 {
     GByteArray *plain = seal_open_message(bytes, length);
     wire_msg msg;
@@ -53,7 +51,7 @@
         return;
     }
     if (codec_decode(plain->data, plain->len, &msg)) {
-        if (is_control(msg.kind)) {
+        if (is_flow_message(msg.kind)) {
             counter_add(&entry->counters, COUNTER_CONTROL_BYTES_IN, length);
         }
         entry_core_receive(entry->core, loop_now(), loop_wall(), &msg);
@@ -65,25 +63,23 @@
     g_byte_array_unref(plain);
 }
 
-/* Takes what the socket holds, in bounds. */
 static void
 on_datagrams(void *data)
 {
     static uint8_t bytes[DATAGRAM_MAX];
     struct entry *entry = data;
 
-    for (int i = 0; i < DATAGRAMS_A_TURN; i++) {
+    for (int i = 0; i < DATAGRAMS_PER_WAKEUP; i++) {
         ssize_t n = recv(entry->peer_fd, bytes, sizeof(bytes), MSG_DONTWAIT);
 
         if (n < 0) {
             break;
         }
-        take_datagram(entry, bytes, (size_t)n);
+        handle_datagram(entry, bytes, (size_t)n);
     }
-    entry_act(entry);
+    entry_run_actions(entry);
 }
 
-/* Opens the socket for messages. */
 enum status_kind
 entry_open_peers(struct entry *entry, struct status *st)
 {
--- a/entry-proxy.c
+++ b/entry-proxy.c
@@ -1,6 +1,6 @@
 /*
- * One caller's request on its own thread: the call of the upstream by
- * libcurl, and the answer. Decides nothing; the core does.
+ * HTTP reverse proxy: runs one caller's request on its HTTP thread. The core
+ * chooses the upstream; libcurl sends the request to it.
  */
 #include <arpa/inet.h>
 #include <stdio.h>
@@ -13,58 +13,57 @@
 #include "loop.h"
 #include "problem.h"
 
-#define ANSWER_MAX (8U * 1024 * 1024)
-#define CONNECT_MS 1000L
+#define RESPONSE_MAX (8U * 1024 * 1024) /* bytes of a body */
+#define CONNECT_TIMEOUT_MS 1000L
 #define WAIT_SLICE_MS 50
-#define HANDED_HEADER "Ridgeridge-Handed" /* not handed on once more */
-#define HTTP_SHED 429L /* RFC 6585: refused before it was processed */
+#define FORWARDED_HEADER "Ridgeridge-Handed" /* sent at most one hop */
+#define HTTP_TOO_MANY_REQUESTS 429L          /* RFC 6585 */
 
-/* What a call of an upstream brings back. */
-struct upstream_reply {
+struct upstream_response {
     GByteArray *body;
     char content_type[128];
     long status;
 };
 
-/* A result on its way to the loop's thread. */
+/* Result of an upstream, passed to the event loop's thread. */
 struct upstream_event {
     struct entry *entry;
     uint64_t token;
     enum gate_result result;
-    struct upstream_reply *reply;
+    struct upstream_response *reply;
 };
 
-/* Gathers the body; ends the call when it is too large. */
+/* Appends to the body; aborts the transfer above RESPONSE_MAX bytes. */
 static size_t
 on_body(char *bytes, size_t size, size_t count, void *data)
 {
-    struct upstream_reply *reply = data;
+    struct upstream_response *reply = data;
 
-    if (reply->body->len + size * count > ANSWER_MAX) {
+    if (reply->body->len + size * count > RESPONSE_MAX) {
         return 0;
     }
     g_byte_array_append(reply->body, (guint8 *)bytes, (guint)(size * count));
     return size * count;
 }
 
-/* Ends the call when the core cancelled it. */
+/* Aborts the transfer after ENTRY_ABORT. */
 static int
 on_progress(void *data, curl_off_t a, curl_off_t b, curl_off_t c, curl_off_t d)
 {
-    struct entry_call *call = data;
+    struct entry_transaction *txn = data;
     bool aborted;
 
     (void)a;
     (void)b;
     (void)c;
     (void)d;
-    g_mutex_lock(&call->lock);
-    aborted = call->aborted;
-    g_mutex_unlock(&call->lock);
+    g_mutex_lock(&txn->lock);
+    aborted = txn->aborted;
+    g_mutex_unlock(&txn->lock);
     return aborted;
 }
 
-/* Copies a header of the caller, when it is there. */
+/* Copies one of the caller's headers if present and free of line breaks. */
 static struct curl_slist *
 copy_header(struct curl_slist *list, const struct _u_request *request,
             const char *name)
@@ -79,9 +78,9 @@
     return library_curl.list_append(list, line);
 }
 
-/* Lists the headers that go to the upstream. */
 static struct curl_slist *
-make_headers(const struct entry_call *call, const struct _u_request *request)
+upstream_headers(const struct entry_transaction *txn,
+                 const struct _u_request *request)
 {
     static const char *const copied[] = {
         "Host",          "Content-Type",    "Accept",
@@ -93,21 +92,22 @@
         list = copy_header(list, request, copied[i]);
     }
     (void)snprintf(line, sizeof(line), "Request-Deadline: %llu",
-                   (unsigned long long)call->spec.wall_deadline);
+                   (unsigned long long)txn->spec.wall_deadline);
     list = library_curl.list_append(list, line);
-    if (call->handed) {
-        list = library_curl.list_append(list, HANDED_HEADER ": 1");
+    if (txn->forwarded) {
+        list = library_curl.list_append(list, FORWARDED_HEADER ": 1");
     }
     return library_curl.list_append(list, "Expect:");
 }
 
-/* Tells what a finished call proves. */
+/* Only a refused connection or status 429 proves that the upstream did not
+ * execute the request. */
 static enum gate_result
-judge(CURLcode code, long status)
+classify_result(CURLcode code, long status)
 {
     switch (code) {
     case CURLE_OK:
-        return status == HTTP_SHED ? GATE_SHED : GATE_ANSWERED;
+        return status == HTTP_TOO_MANY_REQUESTS ? GATE_SHED : GATE_ANSWERED;
     case CURLE_COULDNT_CONNECT:
         return GATE_REFUSED;
     default:
@@ -115,14 +115,13 @@
     }
 }
 
-/* Sets what a call needs. */
 static void
-set_options(CURL *curl, const struct entry_call *call,
-            const struct _u_request *request, struct upstream_reply *reply,
+set_options(CURL *curl, const struct entry_transaction *txn,
+            const struct _u_request *request, struct upstream_response *reply,
             const char *url)
 {
     uint64_t now = loop_now();
-    long left = call->deadline > now ? (long)(call->deadline - now) : 1;
+    long timeout_ms = txn->deadline > now ? (long)(txn->deadline - now) : 1;
 
     (void)library_curl.setopt(curl, CURLOPT_URL, url);
     (void)library_curl.setopt(curl, CURLOPT_CUSTOMREQUEST, request->http_verb);
@@ -139,29 +138,30 @@
     (void)library_curl.setopt(curl, CURLOPT_WRITEDATA, reply);
     (void)library_curl.setopt(curl, CURLOPT_NOPROGRESS, 0L);
     (void)library_curl.setopt(curl, CURLOPT_XFERINFOFUNCTION, on_progress);
-    (void)library_curl.setopt(curl, CURLOPT_XFERINFODATA, call);
-    (void)library_curl.setopt(curl, CURLOPT_CONNECTTIMEOUT_MS, CONNECT_MS);
-    (void)library_curl.setopt(curl, CURLOPT_TIMEOUT_MS, left);
+    (void)library_curl.setopt(curl, CURLOPT_XFERINFODATA, txn);
+    (void)library_curl.setopt(curl, CURLOPT_CONNECTTIMEOUT_MS,
+                              CONNECT_TIMEOUT_MS);
+    (void)library_curl.setopt(curl, CURLOPT_TIMEOUT_MS, timeout_ms);
     (void)library_curl.setopt(curl, CURLOPT_NOSIGNAL, 1L);
     (void)library_curl.setopt(curl, CURLOPT_PATH_AS_IS, 1L);
     (void)library_curl.setopt(curl, CURLOPT_FORBID_REUSE, 1L);
 }
 
-/* Calls the upstream and waits for its answer. */
+/* Sends the request to the upstream or peer and waits for the response. */
 static enum gate_result
-perform(const struct entry_call *call, const struct _u_request *request,
-        struct upstream_reply *reply)
+perform(const struct entry_transaction *txn, const struct _u_request *request,
+        struct upstream_response *reply)
 {
-    struct curl_slist *headers = make_headers(call, request);
+    struct curl_slist *headers = upstream_headers(txn, request);
     CURL *curl = library_curl.init();
     char *type = NULL;
     CURLcode code;
     char endpoint[ADDRESS_TEXT];
-    char *url = g_strconcat(
-        "http://", address_format(call->address, call->port, endpoint),
-        request->http_url, NULL);
+    char *url = g_strconcat("http://",
+                            address_format(txn->address, txn->port, endpoint),
+                            request->http_url, NULL);
 
-    set_options(curl, call, request, reply, url);
+    set_options(curl, txn, request, reply, url);
     (void)library_curl.setopt(curl, CURLOPT_HTTPHEADER, headers);
     code = library_curl.perform(curl);
     (void)library_curl.getinfo(curl, CURLINFO_RESPONSE_CODE, &reply->status);
@@ -172,10 +172,10 @@
     library_curl.cleanup(curl);
     library_curl.list_free(headers);
     g_free(url);
-    return judge(code, reply->status);
+    return classify_result(code, reply->status);
 }
 
-/* Hands a result to the core. */
+/* Passes a result to the core, on the event loop's thread. */
 static void
 on_result(void *data)
 {
@@ -186,31 +186,30 @@
         .body = (const char *)event->reply->body->data,
         .length = event->reply->body->len};
 
-    entry_core_upstream(event->entry->core, loop_now(), loop_wall(),
-                        event->token, event->result, &reply);
-    entry_act(event->entry);
+    entry_core_handle_response(event->entry->core, loop_now(), loop_wall(),
+                               event->token, event->result, &reply);
+    entry_run_actions(event->entry);
 }
 
-/* Waits until the core dispatches or answers. */
+/* Waits for the core; true when it dispatched the request to an upstream. */
 static bool
-wait_for_core(struct entry_call *call)
+wait_for_core(struct entry_transaction *txn)
 {
     bool dispatch;
 
-    g_mutex_lock(&call->lock);
-    while (!call->answered && !call->dispatch) {
-        g_cond_wait(&call->changed, &call->lock);
+    g_mutex_lock(&txn->lock);
+    while (!txn->answered && !txn->dispatch) {
+        g_cond_wait(&txn->changed, &txn->lock);
     }
-    dispatch = !call->answered;
-    call->dispatch = false;
-    g_mutex_unlock(&call->lock);
+    dispatch = !txn->answered;
+    txn->dispatch = false;
+    g_mutex_unlock(&txn->lock);
     return dispatch;
 }
 
-/* Gives the caller a whole answer that was just received. */
 static void
-answer_directly(const struct upstream_reply *reply,
-                struct _u_response *response)
+respond_upstream(const struct upstream_response *reply,
+                 struct _u_response *response)
 {
     (void)library_ulfius.set_body(response, (unsigned)reply->status,
                                   (const char *)reply->body->data,
@@ -221,14 +220,14 @@
     }
 }
 
-/* Gives the caller a recorded answer. */
+/* Replays the response recorded for an Idempotency-Key. */
 static void
-answer_recorded(const wire_outcome *outcome, struct _u_response *response)
+respond_recorded(const wire_outcome *outcome, struct _u_response *response)
 {
     if (!outcome->whole) {
         problem_fill(response, 409, "answer-not-kept",
-                     "the request ran and was answered; its answer was too "
-                     "large to be recorded, so read the result instead",
+                     "the request was executed, but its response was too "
+                     "large to record; read the resulting state instead",
                      "answered", 0);
         return;
     }
@@ -243,14 +242,13 @@
                                  "true");
 }
 
-/* HTTP status of a refusal. */
 static unsigned
-refusal_status(const struct entry_call *call)
+refusal_status(const struct entry_transaction *txn)
 {
-    if (call->outcome.kind == WIRE_OUTCOME_UNKNOWN) {
+    if (txn->outcome.kind == WIRE_OUTCOME_UNKNOWN) {
         return 504;
     }
-    switch (call->rule) {
+    switch (txn->rule) {
     case RULE_NO_KEY:
     case RULE_BAD_DEADLINE:
         return 400;
@@ -261,33 +259,34 @@
     }
 }
 
-/* Gives the caller a refusal. */
+/* Sends an RFC 9457 problem document with the rule that refused. */
 void
-entry_answer(const struct entry_call *call, struct _u_response *response)
+entry_respond_refused(const struct entry_transaction *txn,
+                      struct _u_response *response)
 {
-    bool not_run = call->outcome.kind == WIRE_OUTCOME_NOT_RUN;
+    bool not_run = txn->outcome.kind == WIRE_OUTCOME_NOT_RUN;
 
-    problem_fill(response, refusal_status(call), ring_rule_name(call->rule),
-                 ring_rule_help(call->rule), not_run ? "not-run" : "unknown",
-                 call->outcome.retry_ms);
+    problem_fill(response, refusal_status(txn), ring_rule_name(txn->rule),
+                 ring_rule_help(txn->rule), not_run ? "not-run" : "unknown",
+                 txn->outcome.retry_ms);
 }
 
-/* A peer on its way from the loop's thread. */
+/* Peer chosen for a request that this entry cannot run. */
 struct peer_choice {
     struct entry *entry;
     uint64_t key;
     uint32_t address;
-    uint16_t port; /* 0: there is none */
+    uint16_t port; /* 0: no other entry */
 };
 
-/* Picks a peer for a request, on the loop's thread. */
+/* Runs on the event loop's thread. */
 static void
 on_choose_peer(void *data)
 {
     struct peer_choice *choice = data;
     const struct entry_core *core = choice->entry->core;
     const struct member *peer =
-        member_other(&core->active, choice->key, core->self.id);
+        member_other(&core->active_members, choice->key, core->self.id);
 
     if (peer != NULL) {
         choice->address = peer->address;
@@ -295,17 +294,17 @@
     }
 }
 
-/* Hands a request to a peer, since this entry has no lease. The key and the
- * deadline go along, so it still runs at most once. */
+/* Forwards a request to a peer while this entry has no lease. The peer gets
+ * the same key and deadline, so the request still runs at most once. */
 static bool
-hand_to_peer(struct entry *entry, struct entry_call *call,
-             const struct _u_request *request, struct upstream_reply *reply,
-             struct _u_response *response)
+forward_to_peer(struct entry *entry, struct entry_transaction *txn,
+                const struct _u_request *request,
+                struct upstream_response *reply, struct _u_response *response)
 {
-    struct peer_choice choice = {.entry = entry, .key = call->spec.subject};
+    struct peer_choice choice = {.entry = entry, .key = txn->spec.subject};
 
-    if (call->rule != RULE_NO_LEASE ||
-        library_ulfius.map_get_case(request->map_header, HANDED_HEADER) !=
+    if (txn->rule != RULE_NO_LEASE ||
+        library_ulfius.map_get_case(request->map_header, FORWARDED_HEADER) !=
             NULL) {
         return false;
     }
@@ -313,45 +312,45 @@
     if (choice.port == 0) {
         return false;
     }
-    call->address = choice.address;
-    call->port = choice.port;
-    call->deadline = call->spec.deadline;
-    call->handed = true;
+    txn->address = choice.address;
+    txn->port = choice.port;
+    txn->deadline = txn->spec.deadline;
+    txn->forwarded = true;
     g_byte_array_set_size(reply->body, 0);
-    if (perform(call, request, reply) == GATE_REFUSED || reply->status == 0) {
+    if (perform(txn, request, reply) == GATE_REFUSED || reply->status == 0) {
         return false;
     }
-    answer_directly(reply, response);
+    respond_upstream(reply, response);
     return true;
 }
 
-/* Drives one request from dispatch to answer. */
+/* Runs one request until the caller has a response. */
 void
-entry_call_upstream(struct entry *entry, struct entry_call *call,
+entry_proxy_request(struct entry *entry, struct entry_transaction *txn,
                     const struct _u_request *request,
                     struct _u_response *response)
 {
-    struct upstream_reply reply = {.body = g_byte_array_new()};
+    struct upstream_response reply = {.body = g_byte_array_new()};
 
-    while (wait_for_core(call)) {
+    while (wait_for_core(txn)) {
         struct upstream_event event = {
-            .entry = entry, .token = call->spec.token, .reply = &reply};
+            .entry = entry, .token = txn->spec.token, .reply = &reply};
 
         g_byte_array_set_size(reply.body, 0);
-        event.result = perform(call, request, &reply);
+        event.result = perform(txn, request, &reply);
         loop_call(on_result, &event);
     }
-    if (hand_to_peer(entry, call, request, &reply, response)) {
-        call->outcome.kind = WIRE_OUTCOME_ANSWERED;
+    if (forward_to_peer(entry, txn, request, &reply, response)) {
+        txn->outcome.kind = WIRE_OUTCOME_ANSWERED;
     }
-    else if (call->outcome.kind != WIRE_OUTCOME_ANSWERED) {
-        entry_answer(call, response);
+    else if (txn->outcome.kind != WIRE_OUTCOME_ANSWERED) {
+        entry_respond_refused(txn, response);
     }
-    else if (call->rule == RULE_UPSTREAM_ANSWERED) {
-        answer_directly(&reply, response);
+    else if (txn->rule == RULE_UPSTREAM_ANSWERED) {
+        respond_upstream(&reply, response);
     }
     else {
-        answer_recorded(&call->outcome, response);
+        respond_recorded(&txn->outcome, response);
     }
     g_byte_array_unref(reply.body);
 }
--- a/entry-records.c
+++ b/entry-records.c
@@ -1,19 +1,19 @@
 /*
- * Flow records on their way between entries: copies for the other keepers at
- * once, hints gathered for a second, pushes to keepers within a budget of
- * bytes and sent again until the keeper confirms them or is gone.
+ * Exchange of flow records between entries. Copies for the other keepers are
+ * sent at once, hints in batches. Pushes to keepers are shaped by two token
+ * buckets (as in RFC 2698) and resent until acknowledged.
  */
 #include <string.h>
 
 #include "entry-internal.h"
 
-#define FLUSH_MAX 256
-#define RESEND_MS 300U
-#define RESEND_MAX_MS 5000U
-#define RECORD_BYTES 16 /* one record in XDR */
-#define BATCHES_MAX 64  /* unconfirmed; then nothing more is pushed */
+#define SEND_CLASS_MAX 256 /* records a call */
+#define RESEND_INTERVAL_MS 300U
+#define RESEND_INTERVAL_MAX_MS 5000U
+#define RECORD_BYTES 16 /* of one record, XDR (RFC 4506) */
+#define BATCHES_MAX 64  /* unacknowledged; limits the window of pushes */
 
-/* Sends records to one entry. `batch` is NULL for answers to packets. */
+/* `batch` is NULL for records that are not acknowledged. */
 static void
 send_records(struct entry_core *core, uint64_t peer, wire_flow_record *records,
              u_int count, const struct entry_batch *batch)
@@ -30,7 +30,7 @@
     entry_send_peer(core, peer, &msg);
 }
 
-/* Keeps a batch until it is confirmed, and sends it. */
+/* Sends a batch and retains it until it is acknowledged. */
 static void
 push_batch(struct entry_core *core, uint64_t now, uint64_t peer,
            const wire_flow_record *records, u_int count)
@@ -38,19 +38,20 @@
     struct entry_batch *batch = g_new0(struct entry_batch, 1);
 
     batch->receiver = peer;
-    batch->sequence = ++core->next_batch;
-    batch->wait_ms = RESEND_MS;
-    batch->resend_at = now + RESEND_MS;
+    batch->sequence = ++core->last_batch;
+    batch->resend_interval_ms = RESEND_INTERVAL_MS;
+    batch->resend_at = now + RESEND_INTERVAL_MS;
     batch->count = count;
     memcpy(batch->records, records, count * sizeof(*records));
     g_ptr_array_add(core->batches, batch);
     send_records(core, peer, batch->records, count, batch);
 }
 
-/* Gathers the records for one peer; marks them as gathered. */
+/* Moves the records for the peer of sends[first] to `out`; clears their
+ * `peer`. */
 static u_int
-gather(struct flow_send *sends, size_t count, size_t first,
-       wire_flow_record *out)
+collect_records(struct flow_send *sends, size_t count, size_t first,
+                wire_flow_record *out)
 {
     u_int n = 0;
     uint64_t peer = sends[first].peer;
@@ -67,13 +68,14 @@
     return n;
 }
 
-/* Sends waiting records of a class, at most `max`; returns how many. */
+/* Sends queued records of one class, at most `max`; returns the number. */
 static size_t
-flush(struct entry_core *core, uint64_t now, enum flow_send_class class,
-      size_t max)
+send_class(struct entry_core *core, uint64_t now, enum flow_send_class class,
+           size_t max)
 {
-    struct flow_send sends[FLUSH_MAX];
-    size_t count = flow_take(core->flow, class, sends, MIN(max, FLUSH_MAX));
+    struct flow_send sends[SEND_CLASS_MAX];
+    size_t count =
+        flow_take(core->flow, class, sends, MIN(max, SEND_CLASS_MAX));
 
     for (size_t i = 0; i < count; i++) {
         wire_flow_record records[WIRE_RECORDS_MAX];
@@ -83,7 +85,7 @@
         if (peer == 0) {
             continue;
         }
-        n = gather(sends, count, i, records);
+        n = collect_records(sends, count, i, records);
         if (class == FLOW_SEND_PUSH) {
             push_batch(core, now, peer, records, n);
         }
@@ -94,77 +96,77 @@
     return count;
 }
 
-/* Sends all waiting records of a class. */
 static void
-flush_all(struct entry_core *core, uint64_t now, enum flow_send_class class)
+send_all(struct entry_core *core, uint64_t now, enum flow_send_class class)
 {
-    while (flush(core, now, class, FLUSH_MAX) == FLUSH_MAX) {
+    while (send_class(core, now, class, SEND_CLASS_MAX) == SEND_CLASS_MAX) {
     }
 }
 
-/* Sends the copies that packets caused. */
 void
 entry_core_flush(struct entry_core *core)
 {
-    flush_all(core, core->ticked_at, FLOW_SEND_COPY);
+    send_all(core, core->last_tick, FLOW_SEND_COPY);
 }
 
-/* Sends batches again whose confirmation is late; forgets those whose
- * receiver is no member any more. */
+/* Resends unacknowledged batches with exponential backoff; drops those whose
+ * receiver left the epoch. */
 static void
 resend(struct entry_core *core, uint64_t now)
 {
     for (guint i = core->batches->len; i > 0; i--) {
         struct entry_batch *batch = g_ptr_array_index(core->batches, i - 1);
 
-        if (member_find(&core->active, batch->receiver) == NULL) {
+        if (member_find(&core->active_members, batch->receiver) == NULL) {
             g_free(batch);
             g_ptr_array_remove_index_fast(core->batches, i - 1);
         }
         else if (now >= batch->resend_at) {
-            batch->wait_ms = MIN(2 * batch->wait_ms, RESEND_MAX_MS);
-            batch->resend_at = now + batch->wait_ms;
+            batch->resend_interval_ms =
+                MIN(2 * batch->resend_interval_ms, RESEND_INTERVAL_MAX_MS);
+            batch->resend_at = now + batch->resend_interval_ms;
             send_records(core, batch->receiver, batch->records, batch->count,
                          batch);
         }
     }
 }
 
-/* Lets the budgets grow. */
 static void
-grow_budgets(struct entry_core *core, uint64_t now)
+refill_tokens(struct entry_core *core, uint64_t now)
 {
     double seconds =
-        core->ticked_at ? (double)(now - core->ticked_at) / 1000.0 : 0.0;
+        core->last_tick ? (double)(now - core->last_tick) / 1000.0 : 0.0;
 
-    core->push_budget = MIN((double)ENTRY_PUSH_BURST,
-                            core->push_budget + ENTRY_PUSH_REFILL * seconds);
-    core->push_allowance =
-        MIN(ENTRY_PUSH_RATE * (ENTRY_PUSH_MS * 2.0 / 1000.0),
-            core->push_allowance + ENTRY_PUSH_RATE * seconds);
+    core->push_committed_tokens = MIN(
+        (double)ENTRY_PUSH_BURST_BYTES,
+        core->push_committed_tokens + ENTRY_PUSH_COMMITTED_BYTES_S * seconds);
+    core->push_peak_tokens =
+        MIN(ENTRY_PUSH_PEAK_BYTES_S * (ENTRY_PUSH_INTERVAL_MS * 2.0 / 1000.0),
+            core->push_peak_tokens + ENTRY_PUSH_PEAK_BYTES_S * seconds);
 }
 
-/* Pushes records within the budgets. Larger batches at longer intervals
- * spend fewer bytes on headers. */
+/* Pushes records while both token buckets allow it. */
 static void
-push(struct entry_core *core, uint64_t now)
+push_records(struct entry_core *core, uint64_t now)
 {
-    double bytes = MIN(core->push_allowance, core->push_budget);
+    double bytes = MIN(core->push_peak_tokens, core->push_committed_tokens);
     size_t sent;
 
     if (now < core->push_at || core->batches->len >= BATCHES_MAX ||
         bytes < RECORD_BYTES) {
         return;
     }
-    core->push_at = now + ENTRY_PUSH_MS;
-    sent = flush(core, now, FLOW_SEND_PUSH, (size_t)(bytes / RECORD_BYTES));
-    core->push_budget -= (double)(sent * RECORD_BYTES);
-    core->push_allowance -= (double)(sent * RECORD_BYTES);
+    core->push_at = now + ENTRY_PUSH_INTERVAL_MS;
+    sent =
+        send_class(core, now, FLOW_SEND_PUSH, (size_t)(bytes / RECORD_BYTES));
+    core->push_committed_tokens -= (double)(sent * RECORD_BYTES);
+    core->push_peak_tokens -= (double)(sent * RECORD_BYTES);
 }
 
-/* Tells the other entries which flows this keeper holds, after a loss. */
+/* Sends a Bloom filter of this keeper's flows to all entries after one was
+ * lost. */
 static void
-tell_known(struct entry_core *core, uint64_t now)
+broadcast_known(struct entry_core *core, uint64_t now)
 {
     GBytes *filter = flow_take_known(core->flow, now);
     wire_msg msg = {.kind = WIRE_KNOWN};
@@ -178,38 +180,37 @@
     out->epoch = core->epoch;
     out->bits.bits_val = (char *)g_bytes_get_data(filter, &length);
     out->bits.bits_len = (u_int)length;
-    for (size_t i = 0; i < core->active.count; i++) {
-        if (core->active.items[i].id != core->self.id) {
-            entry_send_peer(core, core->active.items[i].id, &msg);
+    for (size_t i = 0; i < core->active_members.count; i++) {
+        if (core->active_members.items[i].id != core->self.id) {
+            entry_send_peer(core, core->active_members.items[i].id, &msg);
         }
     }
     g_bytes_unref(filter);
 }
 
-/* Scans for records to push, and sends what waits. */
 void
 entry_tick_records(struct entry_core *core, uint64_t now)
 {
-    grow_budgets(core, now);
-    (void)flow_scan(core->flow, now, ENTRY_SCAN_PLACES);
-    flush_all(core, now, FLOW_SEND_COPY);
-    /* Without a lease the members known here may not know this entry, and
-     * would never confirm. */
+    refill_tokens(core, now);
+    (void)flow_scan(core->flow, now, ENTRY_SCAN_SLOTS);
+    send_all(core, now, FLOW_SEND_COPY);
+    /* Without a lease, the members may have removed this entry from their
+     * epoch and then never acknowledge its pushes. */
     if (now < core->lease_deadline) {
-        tell_known(core, now);
+        broadcast_known(core, now);
         resend(core, now);
-        push(core, now);
+        push_records(core, now);
     }
     if (now >= core->hint_at) {
-        core->hint_at = now + ENTRY_HINT_MS;
-        flush_all(core, now, FLOW_SEND_HINT);
+        core->hint_at = now + ENTRY_HINT_INTERVAL_MS;
+        send_all(core, now, FLOW_SEND_HINT);
     }
 }
 
-/* Takes records; a push is confirmed. */
+/* Stores received records; acknowledges a push. */
 void
-entry_take_records(struct entry_core *core, uint64_t now,
-                   const wire_records *records)
+entry_handle_records(struct entry_core *core, uint64_t now,
+                     const wire_records *records)
 {
     wire_msg msg = {.kind = WIRE_RECORDS_ACK};
 
@@ -225,9 +226,8 @@
     }
 }
 
-/* Takes a confirmation. */
 void
-entry_take_records_ack(struct entry_core *core, const wire_records_ack *ack)
+entry_handle_records_ack(struct entry_core *core, const wire_records_ack *ack)
 {
     for (guint i = 0; i < core->batches->len; i++) {
         struct entry_batch *batch = g_ptr_array_index(core->batches, i);
@@ -241,16 +241,15 @@
     }
 }
 
-/* Says whether every record that others must hold is confirmed. */
+/* True when the keepers acknowledged every record they must hold. */
 bool
-entry_is_pushed(const struct entry_core *core)
+entry_records_confirmed(const struct entry_core *core)
 {
     return flow_is_pushed(core->flow) && core->batches->len == 0;
 }
 
-/* Forgets all batches. */
 void
-entry_forget_batches(struct entry_core *core)
+entry_free_batches(struct entry_core *core)
 {
     for (guint i = 0; i < core->batches->len; i++) {
         g_free(g_ptr_array_index(core->batches, i));
--- a/entry-status.c
+++ b/entry-status.c
@@ -1,4 +1,4 @@
-/* What an entry tells operators: status, decisions, what it would decide. */
+/* JSON documents of the operators' pages: status, explain, decide. */
 #include <stdio.h>
 #include <string.h>
 
@@ -7,9 +7,8 @@
 #include "loop.h"
 #include "page.h"
 
-#define EXPLAIN_MAX 64
+#define DECISIONS_MAX 64
 
-/* What the steering knows of a flow service's upstream. */
 static json_object *
 flow_upstream_json(const struct entry *entry,
                    const struct bundle_upstream *upstream)
@@ -30,9 +29,9 @@
     return out;
 }
 
-/* What the gate of a request service knows of its upstreams. */
+/* Adds the state of a request service's gate, if this entry runs it. */
 static void
-add_gate(const struct entry *entry, const char *service, json_object *out)
+add_gate_json(const struct entry *entry, const char *service, json_object *out)
 {
     uint64_t key = hash_name(service);
     const struct gate *gate = g_hash_table_lookup(entry->core->gates, &key);
@@ -60,7 +59,6 @@
     page_add_number(out, "queue", g_queue_get_length((GQueue *)&gate->queue));
 }
 
-/* All services of the bundle in force. */
 static json_object *
 services_json(const struct entry *entry)
 {
@@ -77,13 +75,12 @@
                                   flow_upstream_json(entry, &s->upstreams[j]));
         }
         json_object_object_add(one, "upstreams", list);
-        add_gate(entry, s->name, one);
+        add_gate_json(entry, s->name, one);
         json_object_array_add(out, one);
     }
     return out;
 }
 
-/* The status of an entry. */
 json_object *
 entry_status(struct entry *entry)
 {
@@ -111,9 +108,8 @@
     return out;
 }
 
-/* One decision. */
 static json_object *
-record_json(const struct ring_record *r)
+decision_json(const struct ring_record *r)
 {
     json_object *out = json_object_new_object();
     enum ring_rule rule = (enum ring_rule)r->rule;
@@ -141,13 +137,13 @@
     return out;
 }
 
-/* The decisions about a subject, newest first. */
+/* Recorded decisions about a flow or request, newest first. */
 json_object *
 entry_explain(struct entry *entry, uint64_t subject)
 {
-    struct ring_record records[EXPLAIN_MAX];
+    struct ring_record records[DECISIONS_MAX];
     size_t count =
-        ring_find(&entry->core->ring, subject, records, EXPLAIN_MAX);
+        ring_find(&entry->core->ring, subject, records, DECISIONS_MAX);
     json_object *out = json_object_new_object();
     json_object *list = json_object_new_array();
 
@@ -157,13 +153,13 @@
     page_add_number(out, "kept_since",
                     ring_overwritten_before(&entry->core->ring));
     for (size_t i = 0; i < count; i++) {
-        json_object_array_add(list, record_json(&records[i]));
+        json_object_array_add(list, decision_json(&records[i]));
     }
     json_object_object_add(out, "decisions", list);
     return out;
 }
 
-/* What the tables say of a flow now. */
+/* The upstream of a flow by the current table, and by its record if any. */
 json_object *
 entry_decide(struct entry *entry, const char *service, uint64_t hash)
 {
@@ -171,8 +167,8 @@
     json_object *out = json_object_new_object();
     uint16_t index = flow_find_named(flow, service ? service : "");
     const struct flow_upstream *u;
-    upstream_id owner;
-    upstream_id before;
+    upstream_id new_owner;
+    upstream_id old_owner;
 
     json_object_object_add(out, "entry",
                            json_object_new_string(entry->settings.name));
@@ -182,8 +178,8 @@
         return out;
     }
     page_add_hex(out, "table_digest", flow_table_digest(flow, index));
-    flow_owners(flow, index, hash, &owner, &before);
-    u = flow_upstream(flow, owner);
+    flow_owners(flow, index, hash, &new_owner, &old_owner);
+    u = flow_upstream(flow, new_owner);
     if (u != NULL) {
         page_add_endpoint(out, "owner_now", u->address, u->port);
     }
--- a/entry.c
+++ b/entry.c
@@ -1,4 +1,7 @@
-/* The life of an entry process: start, actions of the core, planned stop. */
+/*
+ * The entry process: startup, actions of the core, and graceful shutdown on
+ * SIGTERM or SIGINT.
+ */
 #include "entry.h"
 
 #include <arpa/inet.h>
@@ -19,68 +22,67 @@
 #include "store.h"
 
 #define TICK_MS 10U
-#define QUIET_MS 300U /* for connections that were just accepted */
-#define LEAVE_MS 100U /* for the last message to control */
+#define QUIESCE_MS 300U    /* requests on connections just accepted */
+#define DEREGISTER_MS 100U /* sending of the last report */
 #define SAVED_BUNDLE "bundle"
 
-/* Tells a waiting thread what the core decided. */
+/* Passes an action to the HTTP thread that waits for it. */
 static void
-tell_call(struct entry *entry, const struct entry_action *action)
+notify_transaction(struct entry *entry, const struct entry_action *action)
 {
-    struct entry_call *call =
-        g_hash_table_lookup(entry->calls, &action->token);
+    struct entry_transaction *txn =
+        g_hash_table_lookup(entry->transactions, &action->token);
 
-    if (call == NULL) {
+    if (txn == NULL) {
         return;
     }
-    g_mutex_lock(&call->lock);
+    g_mutex_lock(&txn->lock);
     switch (action->kind) {
     case ENTRY_DISPATCH:
-        call->dispatch = true;
-        call->address = action->address;
-        call->port = action->port;
-        call->deadline = action->deadline;
+        txn->dispatch = true;
+        txn->address = action->address;
+        txn->port = action->port;
+        txn->deadline = action->deadline;
         break;
     case ENTRY_ABORT:
-        call->aborted = true;
+        txn->aborted = true;
         break;
-    case ENTRY_ANSWER:
-        call->answered = true;
-        call->rule = action->rule;
-        claim_copy_outcome(&action->outcome, &call->outcome);
-        g_hash_table_remove(entry->calls, &action->token);
+    case ENTRY_RESPOND:
+        txn->answered = true;
+        txn->rule = action->rule;
+        claim_copy_outcome(&action->outcome, &txn->outcome);
+        g_hash_table_remove(entry->transactions, &action->token);
         break;
-    case ENTRY_TO_CONTROL:
-    case ENTRY_TO_PEER:
-    case ENTRY_SAVE:
+    case ENTRY_SEND_CONTROL:
+    case ENTRY_SEND_PEER:
+    case ENTRY_SAVE_BUNDLE:
         break;
     }
-    g_cond_signal(&call->changed);
-    g_mutex_unlock(&call->lock);
+    g_cond_signal(&txn->changed);
+    g_mutex_unlock(&txn->lock);
 }
 
-/* Stores the bundle in force, so that a restart does not begin below it. */
+/* Saved for entry_set_min_version() at the next start. */
 static void
 save_bundle(struct entry *entry)
 {
     struct status st = {STATUS_OK, ""};
-    int folder = open(entry->settings.data, O_RDONLY | O_DIRECTORY);
+    int folder_fd = open(entry->settings.data, O_RDONLY | O_DIRECTORY);
 
     log_event(LOG_INFO, "bundle-applied", "version=%llu services=%zu",
               (unsigned long long)entry->core->bundle.version,
               entry->core->bundle.service_count);
-    if (folder < 0) {
+    if (folder_fd < 0) {
         return;
     }
-    if (store_write_file(folder, SAVED_BUNDLE, entry->core->text,
+    if (store_write_file(folder_fd, SAVED_BUNDLE, entry->core->text,
                          strlen(entry->core->text), &st) != STATUS_OK) {
         counter_add(&entry->counters, COUNTER_STORE_ERRORS, 1);
         log_event(LOG_WARN, "bundle-not-saved", "message=\"%s\"", st.message);
     }
-    (void)close(folder);
+    (void)close(folder_fd);
 }
 
-/* Sends a message to a control replica. */
 static void
 send_to_control(struct entry *entry, const struct entry_action *action)
 {
@@ -92,76 +94,74 @@
     }
 }
 
-/* Carries out the core's actions. */
 void
-entry_act(struct entry *entry)
+entry_run_actions(struct entry *entry)
 {
     size_t count;
     const struct entry_action *all = entry_core_actions(entry->core, &count);
 
     for (size_t i = 0; i < count; i++) {
         switch (all[i].kind) {
-        case ENTRY_TO_CONTROL:
+        case ENTRY_SEND_CONTROL:
             send_to_control(entry, &all[i]);
             break;
-        case ENTRY_TO_PEER:
+        case ENTRY_SEND_PEER:
             entry_send_to_peer(entry, &all[i]);
             break;
         case ENTRY_DISPATCH:
         case ENTRY_ABORT:
-        case ENTRY_ANSWER:
-            tell_call(entry, &all[i]);
+        case ENTRY_RESPOND:
+            notify_transaction(entry, &all[i]);
             break;
-        case ENTRY_SAVE:
+        case ENTRY_SAVE_BUNDLE:
             save_bundle(entry);
             break;
         }
     }
-    entry_core_clear(entry->core);
+    entry_core_clear_actions(entry->core);
 }
 
-/* Takes a message of control. */
+/* Handles a message of control. */
 static void
 on_message(void *data, const wire_msg *msg)
 {
     struct entry *entry = data;
 
     entry_core_receive(entry->core, loop_now(), loop_wall(), msg);
-    entry_act(entry);
+    entry_run_actions(entry);
 }
 
-/* Says whether nothing is left that a stop would cut. */
 static bool
 is_idle(struct entry *entry, uint64_t now)
 {
-    return entry_core_is_stopped(entry->core, now) &&
-           g_atomic_int_get(&entry->held_calls) == 0;
+    return entry_core_may_exit(entry->core, now) &&
+           g_atomic_int_get(&entry->open_transactions) == 0;
 }
 
-/* Goes through the end of a planned stop: no new connections, then a pause
- * for those just accepted, then control is told, then the process ends. */
+/* Advances a planned stop: drains, closes the listening socket, waits for
+ * connections just accepted, deregisters at control, ends the event loop. */
 static void
 tick_stop(struct entry *entry, uint64_t now)
 {
-    switch (entry->stop) {
-    case STOP_RUNNING:
+    switch (entry->stop_state) {
+    case STOP_DRAINING:
         if (is_idle(entry, now)) {
             entry_quiesce_http(entry);
-            entry->stop = STOP_QUIET;
-            entry->stop_at = now + QUIET_MS;
+            entry->stop_state = STOP_QUIESCED;
+            entry->stop_step_at = now + QUIESCE_MS;
         }
         return;
-    case STOP_QUIET:
-        if (now >= entry->stop_at &&
-            g_atomic_int_get(&entry->held_calls) == 0) {
-            entry_core_leave(entry->core, now);
-            entry_act(entry);
-            entry->stop = STOP_LEFT;
-            entry->stop_at = now + LEAVE_MS;
+    case STOP_QUIESCED:
+        if (now >= entry->stop_step_at &&
+            g_atomic_int_get(&entry->open_transactions) == 0) {
+            entry_core_deregister(entry->core, now);
+            entry_run_actions(entry);
+            entry->stop_state = STOP_DEREGISTERED;
+            entry->stop_step_at = now + DEREGISTER_MS;
         }
         return;
-    case STOP_LEFT:
-        if (now >= entry->stop_at) {
+    case STOP_DEREGISTERED:
+        if (now >= entry->stop_step_at) {
             log_event(LOG_INFO, "stop-done", "requests_cut=0");
             loop_stop();
         }
@@ -169,15 +169,15 @@
     }
 }
 
-/* Takes requests from the first lease on: before it, a caller is better
- * served by a connection that fails at once. */
+/* Opens HTTP at the first lease; until then callers get connection refused
+ * and retry at another entry. */
 static void
 tick_http(struct entry *entry)
 {
     struct status st = {STATUS_OK, ""};
 
     if (entry->http_open || entry->core->lease_deadline == 0 ||
-        entry->stop != STOP_RUNNING) {
+        entry->stop_state != STOP_DRAINING) {
         return;
     }
     if (entry_open_http(entry, &st) != STATUS_OK) {
@@ -186,7 +186,6 @@
     }
 }
 
-/* Lets time pass. */
 static void
 on_tick(void *data)
 {
@@ -194,13 +193,13 @@
     uint64_t now = loop_now();
 
     entry_core_tick(entry->core, now, loop_wall());
-    entry_act(entry);
+    entry_run_actions(entry);
     tick_http(entry);
     burn_tick(entry->burn, &entry->core->bundle, &entry->counters, now);
     tick_stop(entry, now);
 }
 
-/* Begins the planned stop; a second signal changes nothing. */
+/* Starts a planned stop; further signals have no effect. */
 static void
 on_terminate(void *data)
 {
@@ -211,7 +210,7 @@
     entry_core_stop(entry->core, loop_now());
 }
 
-/* Opens the log file again. */
+/* SIGHUP: reopens the log file after rotation. */
 static void
 on_hangup(void *data)
 {
@@ -219,7 +218,7 @@
     log_reopen();
 }
 
-/* Reads the bundle that an earlier run stored; NULL when there is none. */
+/* Reads the bundle saved by the last run; NULL when there is none. */
 static char *
 load_bundle(const struct settings *settings)
 {
@@ -233,9 +232,8 @@
     return text;
 }
 
-/* Starts the core from the settings. */
 static void
-open_core(struct entry *entry)
+start_core(struct entry *entry)
 {
     struct settings *s = &entry->settings;
     struct entry_options options = {.flow_capacity = s->flow_capacity,
@@ -262,18 +260,18 @@
     g_free(saved);
 }
 
-/* Opens sockets and threads. */
 static enum status_kind
-open_all(struct entry *entry, struct status *st)
+start_process(struct entry *entry, struct status *st)
 {
     struct settings *s = &entry->settings;
 
     if (!seal_open(s->cluster_key)) {
-        return status_set(st, STATUS_IO, "libsodium does not start");
+        return status_set(st, STATUS_IO,
+                          "libsodium cannot be initialized; reinstall it");
     }
     (void)mkdir(s->data, 0700);
     (void)library_curl.global_init(CURL_GLOBAL_DEFAULT);
-    open_core(entry);
+    start_core(entry);
     loop_open(on_tick, entry, TICK_MS);
     loop_signal(SIGTERM, on_terminate, entry);
     loop_signal(SIGINT, on_terminate, entry);
@@ -286,7 +284,6 @@
     return entry_open_packets(entry, st);
 }
 
-/* Runs an entry. */
 enum status_kind
 entry_run(struct settings *settings, struct status *st)
 {
@@ -294,9 +291,9 @@
 
     (void)signal(SIGPIPE, SIG_IGN);
     entry.settings = *settings;
-    entry.calls = g_hash_table_new(g_int64_hash, g_int64_equal);
+    entry.transactions = g_hash_table_new(g_int64_hash, g_int64_equal);
     entry.burn = burn_new();
-    if (open_all(&entry, st) != STATUS_OK) {
+    if (start_process(&entry, st) != STATUS_OK) {
         return st->kind;
     }
     log_event(LOG_INFO, "started", "role=entry name=%s hall=%s id=%016llx",
--- a/tests/flow-load.c
+++ b/tests/flow-load.c
@@ -484,10 +484,10 @@
         struct entry_core *entry = r->sim->nodes[node].entry;
 
         if (!r->stopping[n] || !r->sim->nodes[node].up || r->listed[n] ||
-            !entry_core_is_stopped(entry, r->sim->now)) {
+            !entry_core_may_exit(entry, r->sim->now)) {
             continue;
         }
-        entry_core_leave(entry, r->sim->now);
+        entry_core_deregister(entry, r->sim->now);
         sim_act(r->sim, node);
         sim_kill(r->sim, node);
         r->stopping[n] = false;
--- a/tests/request-load.c
+++ b/tests/request-load.c
@@ -265,8 +265,9 @@
     (void)snprintf(body, sizeof(body), "%llu",
                    (unsigned long long)attempt->call);
     reply.length = strlen(body);
-    entry_core_upstream(node->entry, r->sim->now, SIM_WALL + r->sim->now,
-                        e->attempt, result, &reply);
+    entry_core_handle_response(node->entry, r->sim->now,
+                               SIM_WALL + r->sim->now, e->attempt, result,
+                               &reply);
     sim_act(r->sim, e->node);
 }
 
@@ -544,8 +545,8 @@
         memcpy(spec.digest, &call->id, sizeof(call->id));
         spec.subject = hash_pair(HASH_KEY, call->id, 1);
         if (r->load->way == REQ_GATE) {
-            entry_core_request(node->entry, sim->now, SIM_WALL + sim->now,
-                               &spec);
+            entry_core_start_request(node->entry, sim->now,
+                                     SIM_WALL + sim->now, &spec);
             sim_act(sim, attempt->node);
         }
         else {
@@ -633,8 +634,8 @@
         int node = sim_entry(r->sim, n);
 
         if (r->stopping[n] && r->sim->nodes[node].up &&
-            entry_core_is_stopped(r->sim->nodes[node].entry, r->sim->now)) {
-            entry_core_leave(r->sim->nodes[node].entry, r->sim->now);
+            entry_core_may_exit(r->sim->nodes[node].entry, r->sim->now)) {
+            entry_core_deregister(r->sim->nodes[node].entry, r->sim->now);
             sim_act(r->sim, node);
             sim_kill(r->sim, node);
             start_entry(r, n);
--- a/tests/sim.c
+++ b/tests/sim.c
@@ -275,11 +275,11 @@
         const struct entry_action *action = &all[i];
 
         switch (action->kind) {
-        case ENTRY_TO_CONTROL:
+        case ENTRY_SEND_CONTROL:
             send_bytes(sim, index, replica_node(sim, action->replica),
                        action->bytes, false, 0);
             break;
-        case ENTRY_TO_PEER:
+        case ENTRY_SEND_PEER:
             send_bytes(sim, index, address_node(sim, action->peer.address),
                        action->bytes,
                        action->msg_kind != WIRE_RECORDS &&
@@ -293,18 +293,18 @@
                 hooks->dispatched(hooks->data, index, action);
             }
             break;
-        case ENTRY_ANSWER:
+        case ENTRY_RESPOND:
             if (hooks->answered != NULL) {
                 hooks->answered(hooks->data, index, action);
             }
             break;
-        case ENTRY_SAVE:
+        case ENTRY_SAVE_BUNDLE:
             g_free(node->saved_text);
             node->saved_text = g_strdup(node->entry->text);
             break;
         }
     }
-    entry_core_clear(node->entry);
+    entry_core_clear_actions(node->entry);
 }
 
 /* Carries out a node's actions. */
@@ -502,7 +502,7 @@
             const struct flow_packet *packet, uint64_t tag)
 {
     const struct member *peer =
-        member_find(&sim->nodes[from].entry->all, verdict->peer);
+        member_find(&sim->nodes[from].entry->members, verdict->peer);
     int to = peer ? address_node(sim, peer->address) : -1;
     struct event *event;
 
