--- a/auth.c
+++ b/auth.c
@@ -1,4 +1,4 @@
-/* Tokens and signatures of operators. */
+/* Bearer tokens and signatures of operators. */
 #include "auth.h"
 
 #include <sodium.h>
@@ -9,10 +9,9 @@
 
 #define BEARER "Bearer "
 
-/* Finds the operator of a request. */
 const struct settings_operator *
-auth_operator(const struct settings *settings,
-              const struct _u_request *request)
+auth_find_operator(const struct settings *settings,
+                   const struct _u_request *request)
 {
     const char *header =
         library_ulfius.map_get_case(request->map_header, "Authorization");
@@ -34,35 +33,34 @@
     return found;
 }
 
-/* Writes the bytes that a sign-off signs. */
 size_t
-auth_signed_bytes(uint64_t version, const unsigned char *digest,
-                  unsigned char out[AUTH_SIGNED_MAX])
+auth_sign_off_message(uint64_t version, const unsigned char *digest,
+                      unsigned char out[AUTH_SIGN_OFF_MAX])
 {
     int n =
-        snprintf((char *)out, AUTH_SIGNED_MAX, "ridgeridge sign-off v1 %llu ",
-                 (unsigned long long)version);
+        snprintf((char *)out, AUTH_SIGN_OFF_MAX,
+                 "ridgeridge sign-off v1 %llu ", (unsigned long long)version);
 
     memcpy(out + n, digest, crypto_hash_sha256_BYTES);
     return (size_t)n + crypto_hash_sha256_BYTES;
 }
 
-/* Checks a signature. */
 bool
-auth_check(const struct settings_operator *op, const wire_sign_off *sign)
+auth_verify_sign_off(const struct settings_operator *op,
+                     const wire_sign_off *sign)
 {
-    unsigned char bytes[AUTH_SIGNED_MAX];
-    size_t length = auth_signed_bytes(
+    unsigned char bytes[AUTH_SIGN_OFF_MAX];
+    size_t length = auth_sign_off_message(
         sign->bundle_version, (const unsigned char *)sign->digest, bytes);
 
     return crypto_sign_verify_detached((const unsigned char *)sign->signature,
                                        bytes, length, op->public_key) == 0;
 }
 
-/* Hashes a label and bytes; the label's end keeps the two apart. */
+/* The label's NUL byte separates it from the bytes that follow. */
 void
-auth_hash_two(const char *label, const void *bytes, size_t length,
-              char out[WIRE_KEY])
+auth_hash_labelled(const char *label, const void *bytes, size_t length,
+                   char out[WIRE_KEY])
 {
     crypto_hash_sha256_state state;
     unsigned char digest[crypto_hash_sha256_BYTES];
@@ -77,9 +75,8 @@
     memcpy(out, digest, WIRE_KEY);
 }
 
-/* Hashes a Host and a key. */
 void
-auth_hash_key(const char *host, const char *key, char out[WIRE_KEY])
+auth_hash_request_key(const char *host, const char *key, char out[WIRE_KEY])
 {
-    auth_hash_two(host, key, strlen(key), out);
+    auth_hash_labelled(host, key, strlen(key), out);
 }
--- a/bundle.c
+++ b/bundle.c
@@ -1,4 +1,4 @@
-/* The table of bundle keys, and the checks that span several keys. */
+/* Keys of a bundle, and the checks that span several keys. */
 #include "bundle.h"
 
 #include <glib.h>
@@ -42,7 +42,7 @@
      .max = 1000,
      .value = 100,
      .offset = AT(weight),
-     .help = "give a share from 0 (no new work) to 1000"},
+     .help = "give a relative weight, 0 for no new flows or requests"},
     {.key = "slots",
      .type = SCHEMA_UINT,
      .min = 1,
@@ -50,7 +50,7 @@
      .value = 3,
      .offset = AT(slots),
      .unit = "requests",
-     .help = "give how many requests the upstream runs at once"},
+     .help = "give the maximum number of concurrent requests"},
     {.key = "state",
      .type = SCHEMA_WORD,
      .words = state_words,
@@ -78,7 +78,7 @@
      .value = 1000,
      .offset = AT(within_ms),
      .unit = "ms",
-     .help = "give the time within which an answer is good"},
+     .help = "give the longest response time that counts as good"},
     {.key = "good_per_ten_thousand",
      .type = SCHEMA_UINT,
      .min = 1,
@@ -128,12 +128,12 @@
      .type = SCHEMA_TEXT,
      .max = BUNDLE_NAME_MAX,
      .offset = AT(host),
-     .help = "give the Host that requests of this service carry"},
+     .help = "give the Host header of requests to this service"},
     {.key = "objective",
      .type = SCHEMA_OBJECT,
      .inner = &objective_schema,
      .offset = AT(objective),
-     .help = "say what is good enough"},
+     .help = "give the service level objective"},
     {.key = "upstreams",
      .type = SCHEMA_LIST,
      .required = true,
@@ -164,7 +164,7 @@
      .required = true,
      .max = INT64_MAX,
      .offset = AT(base),
-     .help = "give the version this bundle was made from, 0 for the first"},
+     .help = "give the version this bundle is based on, 0 for the first"},
     {.key = "services",
      .type = SCHEMA_LIST,
      .required = true,
@@ -179,38 +179,36 @@
 const struct schema bundle_schema = {
     .name = "Bundle", .size = sizeof(struct bundle), .fields = bundle_fields};
 
-/* Notes a key in a set; refuses one that another service holds. */
+/* Takes ownership of the key; fails when another service has it already. */
 static enum status_kind
-claim(GHashTable *set, char *key, const char *owner, const char *source,
-      const char *remedy, struct status *st)
+insert_unique(GHashTable *seen, char *key, const char *service,
+              const char *source, const char *remedy, struct status *st)
 {
-    const char *other = g_hash_table_lookup(set, key);
+    const char *holder = g_hash_table_lookup(seen, key);
 
-    if (other != NULL) {
+    if (holder != NULL) {
         (void)status_set(st, STATUS_BAD_INPUT,
                          "%s: \"%s\" and \"%s\" both have %s; %s", source,
-                         other, owner, key, remedy);
+                         holder, service, key, remedy);
         g_free(key);
         return st->kind;
     }
-    g_hash_table_insert(set, key, (gpointer)owner);
+    g_hash_table_insert(seen, key, (gpointer)service);
     return STATUS_OK;
 }
 
-/* Formats an address and port as a key. */
 static char *
-endpoint_key(const char *what, uint32_t address, uint64_t port)
+format_endpoint(const char *prefix, uint32_t address, uint64_t port)
 {
     char text[ADDRESS_TEXT];
 
-    return g_strconcat(what, address_format(address, (uint16_t)port, text),
+    return g_strconcat(prefix, address_format(address, (uint16_t)port, text),
                        NULL);
 }
 
-/* Checks the keys that one kind of service needs and the other does not. */
 static enum status_kind
-check_shape(const char *source, const struct bundle_service *s,
-            struct status *st)
+check_required_keys(const char *source, const struct bundle_service *s,
+                    struct status *st)
 {
     if (s->kind == BUNDLE_FLOW && (s->address == 0 || s->port == 0)) {
         return status_set(st, STATUS_BAD_INPUT,
@@ -220,63 +218,64 @@
     }
     if (s->kind == BUNDLE_REQUEST && s->host[0] == '\0') {
         return status_set(st, STATUS_BAD_INPUT,
-                          "%s: request service \"%s\" lacks \"host\"; give "
-                          "the Host its requests carry",
+                          "%s: request service \"%s\" lacks \"host\"; set "
+                          "it to the Host header of its requests",
                           source, s->name);
     }
     return STATUS_OK;
 }
 
-/* Checks one service against the names and endpoints seen so far. */
+/* Checks a service against the names and endpoints of those before it. */
 static enum status_kind
-check_service(const char *source, GHashTable *set,
+check_service(const char *source, GHashTable *seen,
               const struct bundle_service *s, struct status *st)
 {
-    char *own;
+    char *key;
 
-    if (check_shape(source, s, st) != STATUS_OK) {
+    if (check_required_keys(source, s, st) != STATUS_OK) {
         return st->kind;
     }
-    own = g_strdup_printf("the name %s", s->name);
-    if (claim(set, own, s->name, source, "rename one", st) != STATUS_OK) {
+    key = g_strdup_printf("the name %s", s->name);
+    if (insert_unique(seen, key, s->name, source, "rename one", st) !=
+        STATUS_OK) {
         return st->kind;
     }
-    own = s->kind == BUNDLE_FLOW
-              ? endpoint_key("the address ", s->address, s->port)
+    key = s->kind == BUNDLE_FLOW
+              ? format_endpoint("the address ", s->address, s->port)
               : g_strdup_printf("the host %s", s->host);
-    if (claim(set, own, s->name, source, "give each service its own", st) !=
-        STATUS_OK) {
+    if (insert_unique(seen, key, s->name, source, "give each service its own",
+                      st) != STATUS_OK) {
         return st->kind;
     }
     for (size_t i = 0; i < s->upstream_count; i++) {
         const struct bundle_upstream *u = &s->upstreams[i];
 
-        own = g_strdup_printf("upstream %s of %s", u->name, s->name);
-        if (claim(set, own, s->name, source, "rename one", st) != STATUS_OK) {
+        key = g_strdup_printf("upstream %s of %s", u->name, s->name);
+        if (insert_unique(seen, key, s->name, source, "rename one", st) !=
+            STATUS_OK) {
             return st->kind;
         }
-        own = endpoint_key("upstream ", u->address, u->port);
-        if (claim(set, own, s->name, source,
-                  "an upstream's address and port name exactly one service, "
-                  "so use another port",
-                  st) != STATUS_OK) {
+        key = format_endpoint("upstream ", u->address, u->port);
+        if (insert_unique(seen, key, s->name, source,
+                          "an upstream's address and port belong to exactly "
+                          "one service; use another port",
+                          st) != STATUS_OK) {
             return st->kind;
         }
     }
     return STATUS_OK;
 }
 
-/* Checks what one key alone cannot show. */
 static enum status_kind
 check_bundle(const char *source, const struct bundle *b, struct status *st)
 {
-    GHashTable *set =
+    GHashTable *seen =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 
     for (size_t i = 0; i < b->service_count && st->kind == STATUS_OK; i++) {
-        (void)check_service(source, set, &b->services[i], st);
+        (void)check_service(source, seen, &b->services[i], st);
     }
-    g_hash_table_destroy(set);
+    g_hash_table_destroy(seen);
     if (st->kind == STATUS_OK && b->base >= b->version) {
         return status_set(st, STATUS_BAD_INPUT,
                           "%s: \"base\" is not below \"version\"; raise "
@@ -286,7 +285,6 @@
     return st->kind;
 }
 
-/* Reads and checks a bundle. */
 enum status_kind
 bundle_read(const char *source, const char *text, size_t length,
             struct bundle *out, struct status *st)
@@ -302,7 +300,6 @@
     return st->kind;
 }
 
-/* Reads and checks a bundle file. */
 enum status_kind
 bundle_load(const char *path, struct bundle *out, struct status *st)
 {
@@ -317,14 +314,12 @@
     return st->kind;
 }
 
-/* Frees the lists. */
 void
 bundle_free(struct bundle *bundle)
 {
     schema_free(&bundle_schema, bundle);
 }
 
-/* SHA-256 of the text. */
 void
 bundle_digest(const char *text, size_t length,
               unsigned char digest[BUNDLE_DIGEST_BYTES])
@@ -332,7 +327,6 @@
     (void)crypto_hash_sha256(digest, (const unsigned char *)text, length);
 }
 
-/* Adds an endpoint to a list. */
 static void
 add_endpoint(GArray *list, uint32_t address, uint64_t port,
              const char *service)
@@ -344,7 +338,6 @@
     g_array_append_val(list, endpoint);
 }
 
-/* Lists the endpoints of services and upstreams. */
 struct bundle_endpoint *
 bundle_endpoints(const struct bundle *bundle, size_t *count)
 {
@@ -365,56 +358,56 @@
     return (struct bundle_endpoint *)(void *)g_array_free(list, FALSE);
 }
 
-/* Packs an endpoint into a hash key. */
 static gpointer
-pack_endpoint(uint32_t address, uint16_t port)
+endpoint_hash_key(uint32_t address, uint16_t port)
 {
     return GSIZE_TO_POINTER(((gsize)address << 16) | port);
 }
 
-/* Refuses an endpoint that changes its service without a rest. */
+/* Refuses an endpoint that moves directly from one service to another. */
 static enum status_kind
-check_owners(const struct bundle *before, const struct bundle *after,
-             struct status *st)
+check_reassigned_endpoints(const struct bundle *before,
+                           const struct bundle *after, struct status *st)
 {
     size_t old_count;
     size_t new_count;
     struct bundle_endpoint *old = bundle_endpoints(before, &old_count);
     struct bundle_endpoint *new = bundle_endpoints(after, &new_count);
-    GHashTable *owners = g_hash_table_new(NULL, NULL);
+    GHashTable *by_endpoint = g_hash_table_new(NULL, NULL);
 
     for (size_t i = 0; i < old_count; i++) {
-        g_hash_table_insert(owners, pack_endpoint(old[i].address, old[i].port),
+        g_hash_table_insert(by_endpoint,
+                            endpoint_hash_key(old[i].address, old[i].port),
                             &old[i]);
     }
     for (size_t i = 0; i < new_count && st->kind == STATUS_OK; i++) {
-        const struct bundle_endpoint *had = g_hash_table_lookup(
-            owners, pack_endpoint(new[i].address, new[i].port));
-
-        if (had != NULL && had->service != new[i].service) {
-            char *name = endpoint_key("", new[i].address, new[i].port);
-
-            (void)status_set(st, STATUS_REFUSED,
-                             "%s moves from one service to another; leave it "
-                             "out of a bundle and let it rest first, so that "
-                             "no entry still sends it the old service's "
-                             "packets",
-                             name);
+        const struct bundle_endpoint *previous = g_hash_table_lookup(
+            by_endpoint, endpoint_hash_key(new[i].address, new[i].port));
+
+        if (previous != NULL && previous->service != new[i].service) {
+            char *name = format_endpoint("", new[i].address, new[i].port);
+
+            (void)status_set(
+                st, STATUS_REFUSED,
+                "%s moves from one service to another; first roll "
+                "out a bundle without it and wait until no entry "
+                "sends it packets of the old service",
+                name);
             g_free(name);
         }
     }
-    g_hash_table_destroy(owners);
+    g_hash_table_destroy(by_endpoint);
     g_free(old);
     g_free(new);
     return st->kind;
 }
 
-/* Says whether a service of a bundle has an upstream. */
+/* Compares address and port; the name may change. */
 static bool
 has_upstream(const struct bundle *bundle, const char *service,
              const struct bundle_upstream *upstream)
 {
-    const struct bundle_service *s = bundle_find(bundle, service);
+    const struct bundle_service *s = bundle_find_service(bundle, service);
 
     for (size_t i = 0; s != NULL && i < s->upstream_count; i++) {
         if (s->upstreams[i].address == upstream->address &&
@@ -425,7 +418,7 @@
     return false;
 }
 
-/* Refuses to drop an upstream that was not leaving. */
+/* Refuses to remove an upstream that is not leaving. */
 static enum status_kind
 check_removals(const struct bundle *before, const struct bundle *after,
                struct status *st)
@@ -439,9 +432,10 @@
             if (u->state == BUNDLE_SERVING &&
                 !has_upstream(after, s->name, u)) {
                 return status_set(st, STATUS_REFUSED,
-                                  "upstream \"%s\" of \"%s\" is dropped "
-                                  "while it serves; make it \"leaving\" "
-                                  "first, and drop it once it is drained",
+                                  "upstream \"%s\" of \"%s\" is removed "
+                                  "while it is serving; set its state to "
+                                  "\"leaving\" first, and remove it once it "
+                                  "is drained",
                                   u->name, s->name);
             }
         }
@@ -449,21 +443,19 @@
     return STATUS_OK;
 }
 
-/* Refuses what the bundle before does not allow. */
 enum status_kind
 bundle_check_successor(const struct bundle *before, const struct bundle *after,
                        struct status *st)
 {
     st->kind = STATUS_OK;
-    if (check_owners(before, after, st) != STATUS_OK) {
+    if (check_reassigned_endpoints(before, after, st) != STATUS_OK) {
         return st->kind;
     }
     return check_removals(before, after, st);
 }
 
-/* Finds a service by name. */
 const struct bundle_service *
-bundle_find(const struct bundle *bundle, const char *name)
+bundle_find_service(const struct bundle *bundle, const char *name)
 {
     for (size_t i = 0; i < bundle->service_count; i++) {
         if (strcmp(bundle->services[i].name, name) == 0) {
--- a/bundle.h
+++ b/bundle.h
@@ -1,8 +1,8 @@
 /**
  * @file bundle.h
- * A bundle: which services exist, which upstreams serve them and which are
- * leaving. Read from JSON with comments and checked whole; a bundle that
- * would break the one it follows is refused by bundle_check_successor().
+ * A bundle: the services, their upstreams and which of these are leaving. It
+ * is parsed from JSON with comments and validated as a whole, then against the
+ * bundle that it replaces.
  */
 #ifndef RIDGERIDGE_BUNDLE_H
 #define RIDGERIDGE_BUNDLE_H
@@ -19,96 +19,87 @@
 #define BUNDLE_UPSTREAMS_MAX 16384
 #define BUNDLE_DIGEST_BYTES 32
 
-/** How a service is balanced. */
 enum bundle_kind { BUNDLE_FLOW, BUNDLE_REQUEST };
 
-/** Transport protocol of a flow service. */
 enum bundle_protocol { BUNDLE_TCP, BUNDLE_UDP };
 
-/** What an upstream may be given. */
 enum bundle_state { BUNDLE_SERVING, BUNDLE_LEAVING };
 
-/** One upstream of one service. */
 struct bundle_upstream {
     char name[BUNDLE_NAME_MAX + 1]; /**< unique in the service */
     uint32_t address;               /**< IPv4, host order */
-    uint64_t port;                  /**< TCP or UDP */
-    uint64_t weight;                /**< share of new work */
-    uint64_t slots;                 /**< requests it runs at once */
-    int state;                      /**< enum bundle_state */
-    char hall[BUNDLE_NAME_MAX + 1]; /**< data hall */
+    uint64_t port;
+    uint64_t weight; /**< relative share of new flows or requests */
+    uint64_t slots;  /**< concurrent requests */
+    int state;       /**< enum bundle_state */
+    char hall[BUNDLE_NAME_MAX + 1];
 };
 
-/** What a service promises its callers. */
+/** Service level objective. */
 struct bundle_objective {
-    uint64_t within_ms;             /**< an answer later than this is bad */
-    uint64_t good_per_ten_thousand; /**< share that must be good */
+    uint64_t within_ms; /**< longest response time that counts as good */
+    uint64_t good_per_ten_thousand; /**< share of good requests or flows */
 };
 
-/** One service. */
 struct bundle_service {
     char name[BUNDLE_NAME_MAX + 1];    /**< unique in the bundle */
     int kind;                          /**< enum bundle_kind */
-    uint32_t address;                  /**< flow: address of the service */
-    uint64_t port;                     /**< flow: its port */
+    uint32_t address;                  /**< flow: IPv4 address, host order */
+    uint64_t port;                     /**< flow */
     int protocol;                      /**< flow: enum bundle_protocol */
-    char host[BUNDLE_NAME_MAX + 1];    /**< request: the Host of requests */
-    struct bundle_objective objective; /**< for the burn report */
-    struct bundle_upstream *upstreams; /**< who serves it */
-    size_t upstream_count;             /**< of upstreams */
+    char host[BUNDLE_NAME_MAX + 1];    /**< request: Host header */
+    struct bundle_objective objective; /**< for the burn-rate report */
+    struct bundle_upstream *upstreams;
+    size_t upstream_count;
 };
 
-/** A whole bundle. */
 struct bundle {
-    uint64_t version;                /**< set by operators, rising */
-    uint64_t base;                   /**< the version it was made from */
-    struct bundle_service *services; /**< sorted as written */
-    size_t service_count;            /**< of services */
+    uint64_t version; /**< set by operators, increasing */
+    uint64_t base;    /**< version that it is based on, 0: first bundle */
+    struct bundle_service *services; /**< in the order of the file */
+    size_t service_count;
     unsigned char digest[BUNDLE_DIGEST_BYTES]; /**< SHA-256 of the text */
 };
 
-/** The table of keys, also for the reference page. */
+/** Keys of a bundle, also printed into docs/BUNDLE.md. */
 extern const struct schema bundle_schema;
 
-/** Reads and checks a bundle; free with bundle_free(). */
+/** Parses and validates a bundle; free with bundle_free(). */
 enum status_kind bundle_read(const char *source, const char *text,
                              size_t length, struct bundle *out,
                              struct status *st);
 
-/** Reads and checks a bundle file. */
+/** bundle_read() of a file. */
 enum status_kind bundle_load(const char *path, struct bundle *out,
                              struct status *st);
 
-/** Frees the lists. */
 void bundle_free(struct bundle *bundle);
 
-/** SHA-256 of a bundle's text. */
 void bundle_digest(const char *text, size_t length,
                    unsigned char digest[BUNDLE_DIGEST_BYTES]);
 
-/** One address and port, and the service that it belongs to. */
+/** An address and port, and the service that it belongs to. */
 struct bundle_endpoint {
     uint32_t address; /**< IPv4, host order */
     uint16_t port;    /**< TCP or UDP */
     uint64_t service; /**< hash of the service's name */
 };
 
-/** Lists the endpoints of services and upstreams; free with g_free(). */
+/** Endpoints of flow services and of all upstreams; free with g_free(). */
 struct bundle_endpoint *bundle_endpoints(const struct bundle *bundle,
                                          size_t *count);
 
 /**
- * Refuses a bundle in which an address and port belong to another service
- * than in the bundle before, since views that are seconds old would still
- * send the old service's packets there; and one that drops an upstream which
- * was not leaving, since its flows would be cut.
+ * Refuses to reassign an endpoint to another service, since entries with an
+ * older table would send it packets of the old one, and to remove an upstream
+ * that is not leaving, since its flows would be cut.
  */
 enum status_kind bundle_check_successor(const struct bundle *before,
                                         const struct bundle *after,
                                         struct status *st);
 
-/** Finds a service by name; NULL when there is none. */
-const struct bundle_service *bundle_find(const struct bundle *bundle,
-                                         const char *name);
+/** Returns NULL when there is none. */
+const struct bundle_service *bundle_find_service(const struct bundle *bundle,
+                                                 const char *name);
 
 #endif
--- a/cmd-explain.c
+++ b/cmd-explain.c
@@ -189,7 +189,7 @@
 {
     struct explain_flow flow = {0};
 
-    flow.service = args[0] ? bundle_find(&q->bundle, args[0]) : NULL;
+    flow.service = args[0] ? bundle_find_service(&q->bundle, args[0]) : NULL;
     if (flow.service == NULL || args[1] == NULL ||
         !address_parse(args[1], &flow.source, &flow.source_port)) {
         (void)status_set(q->st, STATUS_BAD_INPUT,
@@ -215,7 +215,7 @@
                          "Idempotency-Key");
         return;
     }
-    auth_hash_key(args[0], args[1], key);
+    auth_hash_request_key(args[0], args[1], key);
     (void)printf("request to %s with key %s:\n", args[0], args[1]);
     explain_subject(q, hash_bytes(HASH_KEY, key, WIRE_KEY), NULL);
     print_end(q);
--- a/cmd-sign-off.c
+++ b/cmd-sign-off.c
@@ -44,7 +44,7 @@
 {
     struct client_reply reply = {0, NULL, 0};
     unsigned char digest[WIRE_DIGEST];
-    unsigned char bytes[AUTH_SIGNED_MAX];
+    unsigned char bytes[AUTH_SIGN_OFF_MAX];
     unsigned char signature[WIRE_SIGNATURE];
     char signature_hex[2 * WIRE_SIGNATURE + 1];
     size_t length = 0;
@@ -52,7 +52,7 @@
 
     (void)sodium_hex2bin(digest, sizeof(digest), hex, strlen(hex), NULL,
                          &length, NULL);
-    length = auth_signed_bytes(version, digest, bytes);
+    length = auth_sign_off_message(version, digest, bytes);
     (void)crypto_sign_detached(signature, NULL, bytes, length,
                                credentials->secret_key);
     (void)sodium_bin2hex(signature_hex, sizeof(signature_hex), signature,
--- a/cons-log.c
+++ b/cons-log.c
@@ -1,16 +1,14 @@
-/* The log of one replica in memory: a snapshot and the entries after it. */
+/* The log in memory: a snapshot and the entries after it. */
 #include "cons-internal.h"
 
 #include <string.h>
 
-/* Highest index in the log. */
 uint64_t
 cons_last_index(const struct cons *cons)
 {
     return cons->snapshot.index + cons->log->len;
 }
 
-/* An entry by index. */
 const struct cons_entry *
 cons_entry_at(const struct cons *cons, uint64_t index)
 {
@@ -21,7 +19,7 @@
                           index - cons->snapshot.index - 1);
 }
 
-/* Term of an entry; 0 before the first. */
+/* Returns 0 for an index outside the log. */
 uint64_t
 cons_term_at(const struct cons *cons, uint64_t index)
 {
@@ -33,7 +31,6 @@
     return index == cons->snapshot.index ? cons->snapshot.term : 0;
 }
 
-/* Appends one entry in memory. */
 void
 cons_log_append(struct cons *cons, uint64_t term, const void *bytes,
                 size_t length)
@@ -42,59 +39,58 @@
                                .command = g_bytes_new(bytes, length)};
 
     g_array_append_val(cons->log, entry);
-    cons_voters_appended(cons);
+    cons_voters_update(cons);
 }
 
-/* Drops entries from an index on. */
+/* Removes the entries from an index on. */
 void
-cons_log_cut(struct cons *cons, uint64_t index)
+cons_log_truncate(struct cons *cons, uint64_t index)
 {
-    guint keep = (guint)(index - cons->snapshot.index - 1);
+    guint kept = (guint)(index - cons->snapshot.index - 1);
 
-    for (guint i = keep; i < cons->log->len; i++) {
+    for (guint i = kept; i < cons->log->len; i++) {
         g_bytes_unref(g_array_index(cons->log, struct cons_entry, i).command);
     }
-    g_array_set_size(cons->log, keep);
-    if (cons->change_index >= index) {
+    g_array_set_size(cons->log, kept);
+    if (cons->config_index >= index) {
         cons_voters_rescan(cons);
     }
 }
 
-/* Replaces everything by a received snapshot. */
+/* Replaces the whole log by a received snapshot. */
 void
 cons_log_reset(struct cons *cons, const wire_snapshot *snapshot)
 {
-    cons_log_cut(cons, cons->snapshot.index + 1);
+    cons_log_truncate(cons, cons->snapshot.index + 1);
     g_clear_pointer(&cons->snapshot.state, g_bytes_unref);
     cons->snapshot.index = snapshot->last_index;
     cons->snapshot.term = snapshot->last_term;
     cons_copy_config(&snapshot->config, &cons->snapshot.config);
     cons->snapshot.state =
         g_bytes_new(snapshot->state.state_val, snapshot->state.state_len);
-    cons->commit = snapshot->last_index;
+    cons->commit_index = snapshot->last_index;
     cons_voters_rescan(cons);
 }
 
-/* Replaces committed entries by a snapshot of the state they built. */
 void
 cons_compact(struct cons *cons, uint64_t index, GBytes *state)
 {
     uint64_t term = cons_term_at(cons, index);
-    guint drop = (guint)(index - cons->snapshot.index);
+    guint dropped = (guint)(index - cons->snapshot.index);
 
-    if (index <= cons->snapshot.index || index > cons->commit ||
-        cons->change_index > index) {
+    if (index <= cons->snapshot.index || index > cons->commit_index ||
+        cons->config_index > index) {
         return;
     }
-    for (guint i = 0; i < drop; i++) {
+    for (guint i = 0; i < dropped; i++) {
         g_bytes_unref(g_array_index(cons->log, struct cons_entry, i).command);
     }
-    g_array_remove_range(cons->log, 0, drop);
+    g_array_remove_range(cons->log, 0, dropped);
     g_clear_pointer(&cons->snapshot.state, g_bytes_unref);
-    cons_copy_config(&cons->latest, &cons->snapshot.config);
+    cons_copy_config(&cons->config, &cons->snapshot.config);
     cons->snapshot.index = index;
-    cons->change_index = index;
+    cons->config_index = index;
     cons->snapshot.term = term;
     cons->snapshot.state = g_bytes_ref(state);
-    (void)cons_act(cons, CONS_SAVE_SNAPSHOT);
+    (void)cons_add_action(cons, CONS_SAVE_SNAPSHOT);
 }
--- a/cons-replicate.c
+++ b/cons-replicate.c
@@ -1,6 +1,6 @@
 /*
- * Replication: a leader's rounds, what followers store and answer, and when
- * an entry is committed.
+ * Log replication: AppendEntries and InstallSnapshot of a leader, the replies
+ * of followers, and the commit index.
  */
 #include "cons-internal.h"
 
@@ -8,24 +8,20 @@
 
 #include "fault.h"
 
-#define BATCH_ENTRIES 16
-/* Entries in one message, which must fit a datagram of 65,507 bytes with its
- * head and 12 bytes an entry. A message that does not fit is made again for
- * the next round, so a replica that lacks it would never be brought up to
- * date: seen with two tables of 36.8 KB. One entry alone may be larger; it is
- * carried in parts. */
-#define BATCH_BYTES 49152U
+#define BATCH_ENTRIES_MAX 16
+/* Keeps a batch within one UDP datagram of 65,507 bytes; a larger single
+ * entry is sent in fragments. */
+#define BATCH_BYTES_MAX 49152U
 
-/* Fills a message with entries from an index on, at least one; their bytes are
- * borrowed. */
+/* Adds at least one entry, if the log has it; its bytes are borrowed. */
 static void
 fill_entries(const struct cons *cons, uint64_t from, wire_append *append)
 {
-    wire_log_entry *entries = g_new0(wire_log_entry, BATCH_ENTRIES);
+    wire_log_entry *entries = g_new0(wire_log_entry, BATCH_ENTRIES_MAX);
     size_t bytes = 0;
     u_int count = 0;
 
-    while (count < BATCH_ENTRIES) {
+    while (count < BATCH_ENTRIES_MAX) {
         const struct cons_entry *entry = cons_entry_at(cons, from + count);
         gsize length = 0;
         const void *data;
@@ -35,7 +31,7 @@
         }
         data = g_bytes_get_data(entry->command, &length);
         bytes += length;
-        if (count > 0 && bytes > BATCH_BYTES) {
+        if (count > 0 && bytes > BATCH_BYTES_MAX) {
             break;
         }
         entries[count].term = entry->term;
@@ -47,15 +43,14 @@
     append->entries.entries_len = count;
 }
 
-/* Sends a snapshot to a replica that is behind the log's start. */
 static void
-send_snapshot(struct cons *cons, size_t index)
+send_snapshot(struct cons *cons, size_t slot)
 {
-    struct cons_action *action = cons_act(cons, CONS_SEND);
+    struct cons_action *action = cons_add_action(cons, CONS_SEND);
     wire_snapshot *out = &action->msg.wire_msg_u.snapshot;
     gsize length = 0;
 
-    action->to = cons->replicas[index];
+    action->to = cons->replicas[slot];
     action->msg.kind = WIRE_SNAPSHOT;
     out->term = cons->term;
     out->replica = cons->self;
@@ -68,46 +63,46 @@
     out->state.state_len = (u_int)length;
 }
 
-/* Sends what one replica lacks, or an empty round. */
+/* Sends the entries that one replica lacks, or an empty heartbeat. */
 static void
-send_append(struct cons *cons, size_t index)
+send_append(struct cons *cons, size_t slot)
 {
-    struct cons_peer *peer = &cons->peers[index];
+    struct cons_peer *peer = &cons->peers[slot];
     struct cons_action *action;
     wire_append *out;
 
-    if (peer->next <= cons->snapshot.index) {
-        send_snapshot(cons, index);
+    if (peer->next_index <= cons->snapshot.index) {
+        send_snapshot(cons, slot);
         return;
     }
-    action = cons_act(cons, CONS_SEND);
-    action->to = cons->replicas[index];
+    action = cons_add_action(cons, CONS_SEND);
+    action->to = cons->replicas[slot];
     action->msg.kind = WIRE_APPEND;
     out = &action->msg.wire_msg_u.append;
     out->term = cons->term;
     out->replica = cons->self;
     out->round = cons->round;
-    out->prev_index = peer->next - 1;
-    out->prev_term = cons_term_at(cons, peer->next - 1);
-    out->commit = cons->commit;
-    fill_entries(cons, peer->next, out);
+    out->prev_index = peer->next_index - 1;
+    out->prev_term = cons_term_at(cons, peer->next_index - 1);
+    out->commit = cons->commit_index;
+    fill_entries(cons, peer->next_index, out);
 }
 
-/* Begins a round with every other replica. */
+/* Starts a heartbeat round with every other replica. */
 void
-cons_broadcast(struct cons *cons, uint64_t now)
+cons_broadcast_append(struct cons *cons, uint64_t now)
 {
     cons->round++;
-    cons->heartbeat_at = now + CONS_HEARTBEAT_MS;
+    cons->heartbeat_at = now + CONS_HEARTBEAT_INTERVAL_MS;
     for (size_t i = 0; i < cons->replica_count; i++) {
         if (cons->replicas[i] != cons->self) {
             send_append(cons, i);
         }
     }
-    cons_advance(cons);
+    cons_advance_commit(cons);
 }
 
-/* Says whether a voter has stored the log up to an index. */
+/* Tests whether a voter has stored the log up to an index. */
 static bool
 has_stored(const struct cons *cons, const wire_voter *voter, uint64_t index)
 {
@@ -117,14 +112,14 @@
         return voter->identity == cons->identity ||
                fault_is(FAULT_COUNT_WIPED);
     }
-    peer = cons_peer_of((struct cons *)cons, voter->replica);
-    return peer != NULL && peer->match >= index &&
+    peer = cons_find_peer((struct cons *)cons, voter->replica);
+    return peer != NULL && peer->match_index >= index &&
            (peer->identity == voter->identity || fault_is(FAULT_COUNT_WIPED));
 }
 
-/* Says whether a voter has answered a round. */
+/* Tests whether a voter has acknowledged a heartbeat round. */
 static bool
-has_answered(const struct cons *cons, const wire_voter *voter, uint64_t round)
+acked_round(const struct cons *cons, const wire_voter *voter, uint64_t round)
 {
     const struct cons_peer *peer;
 
@@ -134,38 +129,40 @@
     if (voter->replica == cons->self) {
         return voter->identity == cons->identity;
     }
-    peer = cons_peer_of((struct cons *)cons, voter->replica);
-    return peer != NULL && peer->round >= round &&
+    peer = cons_find_peer((struct cons *)cons, voter->replica);
+    return peer != NULL && peer->last_round >= round &&
            peer->identity == voter->identity;
 }
 
-/* Moves the commit index and the confirmed round forward. */
+/* Advances the commit index and the confirmed heartbeat round. */
 void
-cons_advance(struct cons *cons)
+cons_advance_commit(struct cons *cons)
 {
     uint64_t index = cons_last_index(cons);
 
-    while (cons->confirmed < cons->round &&
-           cons_quorum(cons, has_answered, cons->confirmed + 1)) {
-        cons->confirmed++;
+    while (cons->confirmed_round < cons->round &&
+           cons_quorum(cons, acked_round, cons->confirmed_round + 1)) {
+        cons->confirmed_round++;
     }
-    while (index > cons->commit && !cons_quorum(cons, has_stored, index)) {
+    while (index > cons->commit_index &&
+           !cons_quorum(cons, has_stored, index)) {
         index--;
     }
-    /* Entries of older terms are committed only under one of this term. */
-    if (index > cons->commit && (cons_term_at(cons, index) == cons->term ||
-                                 fault_is(FAULT_NO_TERM_CHECK))) {
-        cons->commit = index;
+    /* Entries of earlier terms are committed only together with an entry of
+     * the current term (Raft, section 5.4.2). */
+    if (index > cons->commit_index &&
+        (cons_term_at(cons, index) == cons->term ||
+         fault_is(FAULT_NO_TERM_CHECK))) {
+        cons->commit_index = index;
         cons->heartbeat_at = 0;
     }
 }
 
-/* Answers a leader. */
 static void
 reply_append(struct cons *cons, uint32_t to, uint64_t round, bool ok,
              uint64_t match)
 {
-    struct cons_action *action = cons_act(cons, CONS_SEND);
+    struct cons_action *action = cons_add_action(cons, CONS_SEND);
     wire_append_reply *out = &action->msg.wire_msg_u.append_reply;
 
     action->to = to;
@@ -178,9 +175,9 @@
     out->match = match;
 }
 
-/* Stores entries that the log lacks or holds differently. */
+/* Skips entries already stored; truncates the log at the first conflict. */
 static void
-store_entries(struct cons *cons, const wire_append *append)
+append_entries(struct cons *cons, const wire_append *append)
 {
     uint64_t first_new = 0;
 
@@ -188,31 +185,30 @@
         const wire_log_entry *entry = &append->entries.entries_val[i];
         uint64_t index = append->prev_index + 1 + i;
 
-        if (index <= cons->commit) {
+        if (index <= cons->commit_index) {
             continue;
         }
         if (index <= cons_last_index(cons)) {
             if (cons_term_at(cons, index) == entry->term) {
                 continue;
             }
-            cons_act(cons, CONS_SAVE_CUT)->index = index;
-            cons_log_cut(cons, index);
+            cons_add_action(cons, CONS_SAVE_TRUNCATION)->index = index;
+            cons_log_truncate(cons, index);
         }
         first_new = first_new ? first_new : index;
         cons_log_append(cons, entry->term, entry->command.command_val,
                         entry->command.command_len);
     }
     if (first_new != 0) {
-        struct cons_action *action = cons_act(cons, CONS_SAVE_ENTRIES);
+        struct cons_action *action = cons_add_action(cons, CONS_SAVE_ENTRIES);
 
         action->index = first_new;
         action->count = (uint32_t)(cons_last_index(cons) - first_new + 1);
     }
 }
 
-/* Takes a leader's round. */
 void
-cons_take_append(struct cons *cons, uint64_t now, const wire_append *append)
+cons_handle_append(struct cons *cons, uint64_t now, const wire_append *append)
 {
     uint64_t last_sent = append->prev_index + append->entries.entries_len;
 
@@ -220,48 +216,49 @@
         reply_append(cons, append->replica, append->round, false, 0);
         return;
     }
-    cons_follow(cons, now, append->term, append->replica);
+    cons_become_follower(cons, now, append->term, append->replica);
     if (append->prev_index > cons_last_index(cons) ||
-        (append->prev_index > cons->commit &&
+        (append->prev_index > cons->commit_index &&
          cons_term_at(cons, append->prev_index) != append->prev_term)) {
-        uint64_t retry = MIN(append->prev_index, cons_last_index(cons) + 1);
+        uint64_t next = MIN(append->prev_index, cons_last_index(cons) + 1);
 
         reply_append(cons, append->replica, append->round, false,
-                     MAX(retry, cons->commit + 1));
+                     MAX(next, cons->commit_index + 1));
         return;
     }
-    store_entries(cons, append);
-    if (append->commit > cons->commit) {
-        cons->commit = MAX(cons->commit, MIN(append->commit, last_sent));
+    append_entries(cons, append);
+    if (append->commit > cons->commit_index) {
+        cons->commit_index =
+            MAX(cons->commit_index, MIN(append->commit, last_sent));
     }
-    reply_append(cons, append->replica, append->round, true,
-                 MAX(last_sent, MIN(cons->commit, cons_last_index(cons))));
+    reply_append(
+        cons, append->replica, append->round, true,
+        MAX(last_sent, MIN(cons->commit_index, cons_last_index(cons))));
 }
 
-/* Takes a leader's snapshot. */
 void
-cons_take_snapshot(struct cons *cons, uint64_t now,
-                   const wire_snapshot *snapshot)
+cons_handle_snapshot(struct cons *cons, uint64_t now,
+                     const wire_snapshot *snapshot)
 {
     if (snapshot->term < cons->term) {
         reply_append(cons, snapshot->replica, snapshot->round, false, 0);
         return;
     }
-    cons_follow(cons, now, snapshot->term, snapshot->replica);
-    if (snapshot->last_index > cons->commit) {
+    cons_become_follower(cons, now, snapshot->term, snapshot->replica);
+    if (snapshot->last_index > cons->commit_index) {
         cons_log_reset(cons, snapshot);
-        (void)cons_act(cons, CONS_SAVE_SNAPSHOT);
-        (void)cons_act(cons, CONS_LOAD);
+        (void)cons_add_action(cons, CONS_SAVE_SNAPSHOT);
+        (void)cons_add_action(cons, CONS_RESTORE_SNAPSHOT);
     }
-    reply_append(cons, snapshot->replica, snapshot->round, true, cons->commit);
+    reply_append(cons, snapshot->replica, snapshot->round, true,
+                 cons->commit_index);
 }
 
-/* Takes a follower's answer. */
 void
-cons_take_append_reply(struct cons *cons, uint64_t now,
-                       const wire_append_reply *reply)
+cons_handle_append_reply(struct cons *cons, uint64_t now,
+                         const wire_append_reply *reply)
 {
-    struct cons_peer *peer = cons_peer_of(cons, reply->replica);
+    struct cons_peer *peer = cons_find_peer(cons, reply->replica);
 
     if (cons->role != CONS_LEADER || peer == NULL ||
         reply->term != cons->term) {
@@ -269,20 +266,21 @@
     }
     if (peer->identity != reply->identity) {
         peer->identity = reply->identity;
-        peer->match = 0;
-        peer->round = 0;
+        peer->match_index = 0;
+        peer->last_round = 0;
     }
-    peer->heard_at = now;
-    peer->round = MAX(peer->round, reply->round);
+    peer->last_reply_at = now;
+    peer->last_round = MAX(peer->last_round, reply->round);
     if (!reply->ok) {
-        peer->next = MAX(1, MIN(reply->match, cons_last_index(cons) + 1));
+        peer->next_index =
+            MAX(1, MIN(reply->match, cons_last_index(cons) + 1));
     }
-    else if (reply->match >= peer->match) {
-        peer->match = MIN(reply->match, cons_last_index(cons));
-        peer->next = peer->match + 1;
+    else if (reply->match >= peer->match_index) {
+        peer->match_index = MIN(reply->match, cons_last_index(cons));
+        peer->next_index = peer->match_index + 1;
     }
-    cons_advance(cons);
-    if (peer->next <= cons_last_index(cons) &&
+    cons_advance_commit(cons);
+    if (peer->next_index <= cons_last_index(cons) &&
         (!reply->ok || reply->match > 0)) {
         send_append(cons, (size_t)(peer - cons->peers));
     }
--- a/cons-voters.c
+++ b/cons-voters.c
@@ -1,8 +1,8 @@
 /*
- * Who votes. A change of voters is in force as soon as it stands in the log;
- * until it is committed, a quorum needs a majority of the old voters and of
- * the new ones (joint consensus). A voter is a replica number together with
- * the identity of its disk, so a replica that lost its disk does not count.
+ * Voter configuration and quorums. A configuration takes effect when it is
+ * appended; until it is committed, a quorum needs a majority of the old and
+ * of the new voters (joint consensus). A voter is a replica number plus the
+ * identity of its disk, so a replica that lost its disk has no vote.
  */
 #include "cons-internal.h"
 
@@ -11,7 +11,6 @@
 #include "codec.h"
 #include "fault.h"
 
-/* Copies a list of voters over another. */
 void
 cons_copy_config(const wire_config *from, wire_config *to)
 {
@@ -26,45 +25,44 @@
     to->voters.voters_val = g_memdup2(from->voters.voters_val, bytes);
 }
 
-/* Sets the founders as the voters of an empty log. */
+/* Sets the configuration of an empty log. */
 void
-cons_voters_open(struct cons *cons, const wire_config *founders)
+cons_voters_init(struct cons *cons, const wire_config *initial)
 {
-    cons_copy_config(founders, &cons->snapshot.config);
-    cons_copy_config(founders, &cons->latest);
+    cons_copy_config(initial, &cons->snapshot.config);
+    cons_copy_config(initial, &cons->config);
 }
 
-/* Frees the voters. */
 void
-cons_voters_close(struct cons *cons)
+cons_voters_free(struct cons *cons)
 {
     g_free(cons->snapshot.config.voters.voters_val);
-    g_free(cons->latest.voters.voters_val);
+    g_free(cons->config.voters.voters_val);
 }
 
-/* Decodes an entry when it changes the voters. */
+/* Returns false for an entry that is not a configuration change. */
 static bool
-entry_config(const struct cons *cons, uint64_t index, wire_command *out)
+decode_config_entry(const struct cons *cons, uint64_t index, wire_command *out)
 {
     const struct cons_entry *entry = cons_entry_at(cons, index);
     gsize length = 0;
     const unsigned char *bytes = g_bytes_get_data(entry->command, &length);
 
-    /* The kind is the first XDR word; most entries end here. */
+    /* The command kind is the first XDR word. */
     if (length < 4 || bytes[3] != WIRE_CMD_CONFIG) {
         return false;
     }
     return codec_decode_command(bytes, length, out);
 }
 
-/* Finds the last change of voters at or before an index. */
+/* Index of the last configuration entry at or before an index. */
 static uint64_t
-last_change(const struct cons *cons, uint64_t index)
+last_config_index(const struct cons *cons, uint64_t index)
 {
     while (index > cons->snapshot.index) {
         wire_command command;
 
-        if (entry_config(cons, index, &command)) {
+        if (decode_config_entry(cons, index, &command)) {
             codec_free_command(&command);
             return index;
         }
@@ -73,14 +71,14 @@
     return cons->snapshot.index;
 }
 
-/* Copies the voters that one entry, or the snapshot, sets. */
+/* Copies the configuration of an entry, or else of the snapshot. */
 static void
-config_of(const struct cons *cons, uint64_t change, wire_config *out)
+copy_config_at(const struct cons *cons, uint64_t index, wire_config *out)
 {
     wire_command command;
 
-    if (change > cons->snapshot.index &&
-        entry_config(cons, change, &command)) {
+    if (index > cons->snapshot.index &&
+        decode_config_entry(cons, index, &command)) {
         cons_copy_config(&command.wire_command_u.config, out);
         codec_free_command(&command);
         return;
@@ -88,48 +86,46 @@
     cons_copy_config(&cons->snapshot.config, out);
 }
 
-/* Begins to talk to every voter of the latest list. */
 static void
-meet_voters(struct cons *cons)
+add_voters_as_peers(struct cons *cons)
 {
-    for (u_int i = 0; i < cons->latest.voters.voters_len; i++) {
-        (void)cons_add_replica(cons, cons->leader_heard_at,
-                               cons->latest.voters.voters_val[i].replica);
+    for (u_int i = 0; i < cons->config.voters.voters_len; i++) {
+        (void)cons_add_peer(cons, cons->leader_last_seen_at,
+                            cons->config.voters.voters_val[i].replica);
     }
 }
 
-/* Finds the latest voters again, after the end of the log was cut. */
+/* Restores the configuration after entries were removed or replaced. */
 void
 cons_voters_rescan(struct cons *cons)
 {
-    cons->change_index = last_change(cons, cons_last_index(cons));
-    config_of(cons, cons->change_index, &cons->latest);
-    meet_voters(cons);
+    cons->config_index = last_config_index(cons, cons_last_index(cons));
+    copy_config_at(cons, cons->config_index, &cons->config);
+    add_voters_as_peers(cons);
 }
 
-/* Notes an appended entry when it changes the voters. */
+/* Applies the last entry when it is a configuration change. */
 void
-cons_voters_appended(struct cons *cons)
+cons_voters_update(struct cons *cons)
 {
     uint64_t last = cons_last_index(cons);
     wire_command command;
 
-    if (entry_config(cons, last, &command)) {
-        cons->change_index = last;
-        cons_copy_config(&command.wire_command_u.config, &cons->latest);
+    if (decode_config_entry(cons, last, &command)) {
+        cons->config_index = last;
+        cons_copy_config(&command.wire_command_u.config, &cons->config);
         codec_free_command(&command);
-        meet_voters(cons);
+        add_voters_as_peers(cons);
     }
 }
 
-/* Says whether a change of voters is not yet committed. */
 bool
 cons_config_pending(const struct cons *cons)
 {
-    return cons->change_index > cons->commit;
+    return cons->config_index > cons->commit_index;
 }
 
-/* Says whether two lists name the same voters in the same order. */
+/* The order of the voters counts. */
 static bool
 same_voters(const wire_config *a, const wire_config *b)
 {
@@ -147,63 +143,62 @@
     return true;
 }
 
-/* Says whether the log itself shows that the last change of voters was
- * committed: the same list stands in it twice, or in the snapshot. A replica
- * that restarts does not know what was committed, and would ask for a
- * majority of the list before, whose disks may be lost by then. */
+/* Tests whether the log records that the last configuration was committed:
+ * the configuration was appended twice, or is in the snapshot. A restarted
+ * replica does not know the commit index and would otherwise need a majority
+ * of the old voters, whose disks may be gone. */
 bool
-cons_is_settled(const struct cons *cons)
+cons_config_commit_logged(const struct cons *cons)
 {
-    wire_config before = {0};
+    wire_config old_config = {0};
     bool same;
 
-    if (cons->change_index <= cons->snapshot.index) {
+    if (cons->config_index <= cons->snapshot.index) {
         return true;
     }
-    config_of(cons, last_change(cons, cons->change_index - 1), &before);
-    same = same_voters(&before, &cons->latest);
-    g_free(before.voters.voters_val);
+    copy_config_at(cons, last_config_index(cons, cons->config_index - 1),
+                   &old_config);
+    same = same_voters(&old_config, &cons->config);
+    g_free(old_config.voters.voters_val);
     return same;
 }
 
-/* The voters at the end of the log. */
 const wire_config *
 cons_config(const struct cons *cons)
 {
-    return &cons->latest;
+    return &cons->config;
 }
 
-/* Counts a majority of one list of voters. */
 static bool
-majority(const struct cons *cons, const wire_config *config, cons_test test,
-         uint64_t data)
+has_majority(const struct cons *cons, const wire_config *config,
+             cons_voter_predicate test, uint64_t data)
 {
-    u_int yes = 0;
+    u_int votes = 0;
 
     for (u_int i = 0; i < config->voters.voters_len; i++) {
-        yes += test(cons, &config->voters.voters_val[i], data);
+        votes += test(cons, &config->voters.voters_val[i], data);
     }
-    return yes > config->voters.voters_len / 2;
+    return votes > config->voters.voters_len / 2;
 }
 
-/* Counts a quorum: one majority, or two while voters change. */
+/* Needs two majorities while a configuration change is uncommitted. */
 bool
-cons_quorum(const struct cons *cons, cons_test test, uint64_t data)
+cons_quorum(const struct cons *cons, cons_voter_predicate test, uint64_t data)
 {
-    wire_config before = {0};
-    bool ok = majority(cons, &cons->latest, test, data);
+    wire_config old_config = {0};
+    bool ok = has_majority(cons, &cons->config, test, data);
 
     if (ok && cons_config_pending(cons)) {
-        config_of(cons, last_change(cons, cons->change_index - 1), &before);
-        ok = majority(cons, &before, test, data);
-        g_free(before.voters.voters_val);
+        copy_config_at(cons, last_config_index(cons, cons->config_index - 1),
+                       &old_config);
+        ok = has_majority(cons, &old_config, test, data);
+        g_free(old_config.voters.voters_val);
     }
     return ok;
 }
 
-/* Finds what is known of another replica. */
 struct cons_peer *
-cons_peer_of(struct cons *cons, uint32_t replica)
+cons_find_peer(struct cons *cons, uint32_t replica)
 {
     for (size_t i = 0; i < cons->replica_count; i++) {
         if (cons->replicas[i] == replica) {
@@ -213,47 +208,44 @@
     return NULL;
 }
 
-/* Begins to talk to a replica. */
 bool
-cons_add_replica(struct cons *cons, uint64_t now, uint32_t replica)
+cons_add_peer(struct cons *cons, uint64_t now, uint32_t replica)
 {
-    size_t place = cons->replica_count;
+    size_t slot = cons->replica_count;
 
-    if (cons_peer_of(cons, replica) != NULL) {
+    if (cons_find_peer(cons, replica) != NULL) {
         return true;
     }
-    if (place == CONS_PEERS_MAX) {
+    if (slot == CONS_PEERS_MAX) {
         return false;
     }
-    cons->replicas[place] = replica;
-    cons->peers[place] =
-        (struct cons_peer){.next = cons_last_index(cons) + 1, .heard_at = now};
+    cons->replicas[slot] = replica;
+    cons->peers[slot] = (struct cons_peer){
+        .next_index = cons_last_index(cons) + 1, .last_reply_at = now};
     cons->replica_count++;
     return true;
 }
 
-/* Stops talking to a replica that is no voter. */
 void
-cons_drop_replica(struct cons *cons, uint32_t replica)
+cons_remove_peer(struct cons *cons, uint32_t replica)
 {
-    const struct cons_peer *peer = cons_peer_of(cons, replica);
-    size_t place;
+    const struct cons_peer *peer = cons_find_peer(cons, replica);
+    size_t slot;
 
     if (peer == NULL || replica == cons->self) {
         return;
     }
-    for (u_int i = 0; i < cons->latest.voters.voters_len; i++) {
-        if (cons->latest.voters.voters_val[i].replica == replica) {
+    for (u_int i = 0; i < cons->config.voters.voters_len; i++) {
+        if (cons->config.voters.voters_val[i].replica == replica) {
             return;
         }
     }
-    place = (size_t)(peer - cons->peers);
+    slot = (size_t)(peer - cons->peers);
     cons->replica_count--;
-    cons->replicas[place] = cons->replicas[cons->replica_count];
-    cons->peers[place] = cons->peers[cons->replica_count];
+    cons->replicas[slot] = cons->replicas[cons->replica_count];
+    cons->peers[slot] = cons->peers[cons->replica_count];
 }
 
-/* Says whether a list of voters holds a replica with an identity. */
 static bool
 has_voter(const wire_config *config, uint32_t replica, uint64_t identity)
 {
@@ -268,25 +260,25 @@
     return false;
 }
 
-/* Says whether this replica may lead: a voter, or one that an uncommitted
- * change would remove, since without it nobody may hold the longest log. */
+/* A voter that an uncommitted change removes may still lead, since it may be
+ * the only one with the longest log. */
 bool
 cons_may_lead(const struct cons *cons)
 {
-    wire_config before = {0};
-    bool ok = has_voter(&cons->latest, cons->self, cons->identity);
+    wire_config old_config = {0};
+    bool ok = has_voter(&cons->config, cons->self, cons->identity);
 
     if (!ok && cons_config_pending(cons)) {
-        config_of(cons, last_change(cons, cons->change_index - 1), &before);
-        ok = has_voter(&before, cons->self, cons->identity);
-        g_free(before.voters.voters_val);
+        copy_config_at(cons, last_config_index(cons, cons->config_index - 1),
+                       &old_config);
+        ok = has_voter(&old_config, cons->self, cons->identity);
+        g_free(old_config.voters.voters_val);
     }
     return ok;
 }
 
-/* Says whether a replica with an identity is a voter. */
 bool
 cons_is_voter(const struct cons *cons, uint32_t replica, uint64_t identity)
 {
-    return has_voter(&cons->latest, replica, identity);
+    return has_voter(&cons->config, replica, identity);
 }
--- a/cons.c
+++ b/cons.c
@@ -1,4 +1,6 @@
-/* Roles, elections and time of one replica. */
+/*
+ * Raft roles, elections with pre-vote, and leader timeouts of one replica.
+ */
 #include "cons-internal.h"
 
 #include <string.h>
@@ -7,11 +9,10 @@
 #include "fault.h"
 #include "random.h"
 
-#define QUIET_LEADER_MS (2 * CONS_ELECTION_MS)
+#define CHECK_QUORUM_MS (2 * CONS_ELECTION_TIMEOUT_MS)
 
-/* Adds an action. */
 struct cons_action *
-cons_act(struct cons *cons, enum cons_action_kind kind)
+cons_add_action(struct cons *cons, enum cons_action_kind kind)
 {
     struct cons_action action = {.kind = kind};
 
@@ -20,26 +21,24 @@
                           cons->actions->len - 1);
 }
 
-/* Asks to store term and vote. */
 void
 cons_save_term(struct cons *cons)
 {
-    (void)cons_act(cons, CONS_SAVE_TERM);
+    (void)cons_add_action(cons, CONS_SAVE_TERM);
 }
 
-/* Sets the next election deadline. */
 static void
-set_election(struct cons *cons, uint64_t now)
+reset_election_timer(struct cons *cons, uint64_t now)
 {
-    cons->election_at = now + CONS_ELECTION_MS +
-                        random_next(&cons->random) % CONS_ELECTION_SPAN_MS;
+    cons->election_at = now + CONS_ELECTION_TIMEOUT_MS +
+                        random_next(&cons->random) % CONS_ELECTION_JITTER_MS;
 }
 
-/* Starts a replica. */
 void
 cons_open(struct cons *cons, uint64_t now, uint32_t self, uint64_t identity,
-          const uint32_t *replicas, size_t count, const wire_config *founders,
-          uint64_t seed, struct cons_stored *stored)
+          const uint32_t *replicas, size_t count,
+          const wire_config *initial_config, uint64_t seed,
+          struct cons_stored *stored)
 {
     memset(cons, 0, sizeof(*cons));
     cons->self = self;
@@ -48,78 +47,79 @@
     cons->replica_count = count;
     memcpy(cons->replicas, replicas, count * sizeof(*replicas));
     cons->actions = g_array_new(FALSE, FALSE, sizeof(struct cons_action));
-    cons_voters_open(cons, founders);
+    cons_voters_init(cons, initial_config);
     if (stored != NULL) {
         cons->term = stored->term;
-        cons->vote = stored->vote;
+        cons->voted_for = stored->voted_for;
         cons->log = stored->log;
         if (stored->snapshot.index > 0) {
             g_free(cons->snapshot.config.voters.voters_val);
             cons->snapshot = stored->snapshot;
-            cons->commit = stored->snapshot.index;
+            cons->commit_index = stored->snapshot.index;
         }
     }
     if (stored != NULL && cons->log != NULL) {
-        cons->commit =
-            MAX(cons->commit, MIN(stored->commit, cons_last_index(cons)));
+        cons->commit_index =
+            MAX(cons->commit_index,
+                MIN(stored->commit_index, cons_last_index(cons)));
     }
     if (cons->log == NULL) {
         cons->log = g_array_new(FALSE, FALSE, sizeof(struct cons_entry));
     }
     cons_voters_rescan(cons);
-    set_election(cons, now);
+    reset_election_timer(cons, now);
 }
 
-/* Frees a replica. */
 void
 cons_close(struct cons *cons)
 {
-    cons_log_cut(cons, cons->snapshot.index + 1);
+    cons_log_truncate(cons, cons->snapshot.index + 1);
     g_array_free(cons->log, TRUE);
     cons_clear_actions(cons);
-    cons_voters_close(cons);
+    cons_voters_free(cons);
     g_clear_pointer(&cons->snapshot.state, g_bytes_unref);
     g_array_free(cons->actions, TRUE);
 }
 
-/* Becomes a follower, of a newer term or of a leader just heard. */
+/* Steps down for a newer term, or follows the leader of the current one. */
 void
-cons_follow(struct cons *cons, uint64_t now, uint64_t term, uint32_t leader)
+cons_become_follower(struct cons *cons, uint64_t now, uint64_t term,
+                     uint32_t leader)
 {
     if (term > cons->term) {
         cons->term = term;
-        cons->vote = 0;
+        cons->voted_for = 0;
         cons->leader = 0;
         cons_save_term(cons);
     }
     cons->role = CONS_FOLLOWER;
     if (leader != 0) {
         cons->leader = leader;
-        cons->leader_heard_at = now;
-        set_election(cons, now);
+        cons->leader_last_seen_at = now;
+        reset_election_timer(cons, now);
     }
 }
 
-/* Says whether a voter granted its vote in this election. */
+/* Tests whether a voter granted its vote in the current election. */
 static bool
-has_granted(const struct cons *cons, const wire_voter *voter, uint64_t unused)
+granted_vote(const struct cons *cons, const wire_voter *voter, uint64_t unused)
 {
     const struct cons_peer *peer =
-        cons_peer_of((struct cons *)cons, voter->replica);
+        cons_find_peer((struct cons *)cons, voter->replica);
 
     (void)unused;
     if (voter->replica == cons->self) {
         return voter->identity == cons->identity ||
                fault_is(FAULT_COUNT_WIPED);
     }
-    return peer != NULL && peer->vote &&
+    return peer != NULL && peer->vote_granted &&
            (peer->vote_identity == voter->identity ||
             fault_is(FAULT_COUNT_WIPED));
 }
 
-/* Becomes the leader; an empty entry commits what older terms left. */
+/* The no-op entry commits entries of earlier terms (Raft, section 5.4.2). */
 static void
-lead(struct cons *cons, uint64_t now)
+become_leader(struct cons *cons, uint64_t now)
 {
     wire_command command = {.kind = WIRE_CMD_NOOP};
 
@@ -129,52 +129,51 @@
     for (size_t i = 0; i < cons->replica_count; i++) {
         struct cons_peer *peer = &cons->peers[i];
 
-        *peer = (struct cons_peer){.next = cons_last_index(cons) + 1,
-                                   .heard_at = now};
+        *peer = (struct cons_peer){.next_index = cons_last_index(cons) + 1,
+                                   .last_reply_at = now};
     }
-    cons->confirmed = cons->round;
+    cons->confirmed_round = cons->round;
     (void)cons_propose(cons, now, &command);
 }
 
-static void ask_votes(struct cons *cons, uint64_t now, bool pre);
+static void request_votes(struct cons *cons, uint64_t now, bool pre);
 
-/* Counts the votes of an election. */
 static void
 count_votes(struct cons *cons, uint64_t now)
 {
-    if (cons->role != CONS_CANDIDATE || !cons_quorum(cons, has_granted, 0)) {
+    if (cons->role != CONS_CANDIDATE || !cons_quorum(cons, granted_vote, 0)) {
         return;
     }
-    if (cons->pre) {
-        ask_votes(cons, now, false);
+    if (cons->pre_vote) {
+        request_votes(cons, now, false);
         return;
     }
-    lead(cons, now);
+    become_leader(cons, now);
 }
 
-/* Asks every replica for its vote, or whether it would give it. */
+/* A pre-vote leaves the stored term and vote unchanged. */
 static void
-ask_votes(struct cons *cons, uint64_t now, bool pre)
+request_votes(struct cons *cons, uint64_t now, bool pre)
 {
     uint64_t last = cons_last_index(cons);
 
     cons->role = CONS_CANDIDATE;
-    cons->pre = pre;
+    cons->pre_vote = pre;
     cons->leader = 0;
     if (!pre) {
         cons->term++;
-        cons->vote = cons->self;
+        cons->voted_for = cons->self;
         cons_save_term(cons);
     }
     for (size_t i = 0; i < cons->replica_count; i++) {
         struct cons_action *action;
         wire_vote_ask *ask;
 
-        cons->peers[i].vote = false;
+        cons->peers[i].vote_granted = false;
         if (cons->replicas[i] == cons->self) {
             continue;
         }
-        action = cons_act(cons, CONS_SEND);
+        action = cons_add_action(cons, CONS_SEND);
         action->to = cons->replicas[i];
         action->msg.kind = WIRE_VOTE_ASK;
         ask = &action->msg.wire_msg_u.vote_ask;
@@ -188,9 +187,9 @@
     count_votes(cons, now);
 }
 
-/* Says whether a candidate's log holds all that this one holds. */
+/* Compares last term, then last index (Raft, section 5.4.1). */
 static bool
-is_up_to_date(const struct cons *cons, const wire_vote_ask *ask)
+candidate_is_up_to_date(const struct cons *cons, const wire_vote_ask *ask)
 {
     uint64_t last = cons_last_index(cons);
     uint64_t last_term = cons_term_at(cons, last);
@@ -204,44 +203,44 @@
     return ask->last_index >= last;
 }
 
-/* Decides about a vote. */
+/* A pre-vote is refused while a leader is alive. */
 static bool
 grant_vote(struct cons *cons, uint64_t now, const wire_vote_ask *ask)
 {
-    if (ask->term < cons->term || !is_up_to_date(cons, ask)) {
+    if (ask->term < cons->term || !candidate_is_up_to_date(cons, ask)) {
         return false;
     }
     if (ask->pre) {
-        bool quiet = cons->role != CONS_LEADER &&
-                     now >= cons->leader_heard_at + CONS_ELECTION_MS;
+        bool no_leader =
+            cons->role != CONS_LEADER &&
+            now >= cons->leader_last_seen_at + CONS_ELECTION_TIMEOUT_MS;
 
-        return quiet && ask->term > cons->term;
+        return no_leader && ask->term > cons->term;
     }
-    if (cons->vote != 0 && cons->vote != ask->replica &&
+    if (cons->voted_for != 0 && cons->voted_for != ask->replica &&
         !fault_is(FAULT_VOTE_TWICE)) {
         return false;
     }
-    if (cons->vote != ask->replica) {
-        cons->vote = ask->replica;
+    if (cons->voted_for != ask->replica) {
+        cons->voted_for = ask->replica;
         cons_save_term(cons);
     }
-    set_election(cons, now);
+    reset_election_timer(cons, now);
     return true;
 }
 
-/* Takes a candidate's question. */
 static void
-take_vote_ask(struct cons *cons, uint64_t now, const wire_vote_ask *ask)
+handle_vote_request(struct cons *cons, uint64_t now, const wire_vote_ask *ask)
 {
     struct cons_action *action;
     wire_vote_reply *out;
     bool granted;
 
     if (!ask->pre && ask->term > cons->term) {
-        cons_follow(cons, now, ask->term, 0);
+        cons_become_follower(cons, now, ask->term, 0);
     }
     granted = grant_vote(cons, now, ask);
-    action = cons_act(cons, CONS_SEND);
+    action = cons_add_action(cons, CONS_SEND);
     action->to = ask->replica;
     action->msg.kind = WIRE_VOTE_REPLY;
     out = &action->msg.wire_msg_u.vote_reply;
@@ -252,55 +251,56 @@
     out->granted = granted;
 }
 
-/* Takes a vote. */
 static void
-take_vote_reply(struct cons *cons, uint64_t now, const wire_vote_reply *reply)
+handle_vote_reply(struct cons *cons, uint64_t now,
+                  const wire_vote_reply *reply)
 {
-    struct cons_peer *peer = cons_peer_of(cons, reply->replica);
-    uint64_t expected = cons->term + (cons->pre ? 1 : 0);
+    struct cons_peer *peer = cons_find_peer(cons, reply->replica);
+    uint64_t expected = cons->term + (cons->pre_vote ? 1 : 0);
 
     if (!reply->granted && reply->term > cons->term) {
-        cons_follow(cons, now, reply->term, 0);
+        cons_become_follower(cons, now, reply->term, 0);
         return;
     }
     if (cons->role != CONS_CANDIDATE || peer == NULL || !reply->granted ||
-        reply->pre != cons->pre || reply->term != expected) {
+        reply->pre != cons->pre_vote || reply->term != expected) {
         return;
     }
-    peer->vote = true;
+    peer->vote_granted = true;
     peer->vote_identity = reply->identity;
     count_votes(cons, now);
 }
 
-/* Says whether a voter answered since a time. */
+/* Tests whether a voter replied at or after a time. */
 static bool
-heard_since(const struct cons *cons, const wire_voter *voter, uint64_t since)
+replied_since(const struct cons *cons, const wire_voter *voter, uint64_t since)
 {
     const struct cons_peer *peer =
-        cons_peer_of((struct cons *)cons, voter->replica);
+        cons_find_peer((struct cons *)cons, voter->replica);
 
     return voter->replica == cons->self ||
-           (peer != NULL && peer->heard_at >= since);
+           (peer != NULL && peer->last_reply_at >= since);
 }
 
-/* Writes a committed change of voters once more, so that the log shows it. */
+/* Appends a committed configuration a second time, which records in the log
+ * that it was committed; see cons_config_commit_logged(). */
 static void
-settle_voters(struct cons *cons, uint64_t now)
+log_config_commit(struct cons *cons, uint64_t now)
 {
     wire_command command = {.kind = WIRE_CMD_CONFIG};
 
     if (cons_is_ready(cons) && !cons_config_pending(cons) &&
-        !cons_is_settled(cons)) {
-        command.wire_command_u.config.voters = cons->latest.voters;
+        !cons_config_commit_logged(cons)) {
+        command.wire_command_u.config.voters = cons->config.voters;
         (void)cons_propose(cons, now, &command);
     }
 }
 
-/* Lets a leader's time pass: rounds, and stepping down when cut off. */
+/* Sends heartbeats; steps down without a quorum of replies (CheckQuorum). */
 static void
 tick_leader(struct cons *cons, uint64_t now)
 {
-    uint64_t since = now > QUIET_LEADER_MS ? now - QUIET_LEADER_MS : 0;
+    uint64_t since = now > CHECK_QUORUM_MS ? now - CHECK_QUORUM_MS : 0;
 
     if (!cons_may_lead(cons)) {
         cons->role = CONS_FOLLOWER;
@@ -308,20 +308,19 @@
         return;
     }
     if (!fault_is(FAULT_LEASE_NO_QUORUM) &&
-        now > cons->elected_at + QUIET_LEADER_MS &&
-        !cons_quorum(cons, heard_since, since)) {
+        now > cons->elected_at + CHECK_QUORUM_MS &&
+        !cons_quorum(cons, replied_since, since)) {
         cons->role = CONS_FOLLOWER;
         cons->leader = 0;
-        set_election(cons, now);
+        reset_election_timer(cons, now);
         return;
     }
-    settle_voters(cons, now);
+    log_config_commit(cons, now);
     if (now >= cons->heartbeat_at) {
-        cons_broadcast(cons, now);
+        cons_broadcast_append(cons, now);
     }
 }
 
-/* Lets time pass. */
 void
 cons_tick(struct cons *cons, uint64_t now)
 {
@@ -335,13 +334,12 @@
     if (now < cons->election_at) {
         return;
     }
-    set_election(cons, now);
+    reset_election_timer(cons, now);
     if (cons_may_lead(cons)) {
-        ask_votes(cons, now, true);
+        request_votes(cons, now, true);
     }
 }
 
-/* Takes a message. */
 void
 cons_receive(struct cons *cons, uint64_t now, const wire_msg *msg)
 {
@@ -350,23 +348,24 @@
     }
     switch (msg->kind) {
     case WIRE_VOTE_ASK:
-        take_vote_ask(cons, now, &msg->wire_msg_u.vote_ask);
+        handle_vote_request(cons, now, &msg->wire_msg_u.vote_ask);
         return;
     case WIRE_VOTE_REPLY:
-        take_vote_reply(cons, now, &msg->wire_msg_u.vote_reply);
+        handle_vote_reply(cons, now, &msg->wire_msg_u.vote_reply);
         return;
     case WIRE_APPEND:
-        cons_take_append(cons, now, &msg->wire_msg_u.append);
+        cons_handle_append(cons, now, &msg->wire_msg_u.append);
         return;
     case WIRE_APPEND_REPLY:
         if (msg->wire_msg_u.append_reply.term > cons->term) {
-            cons_follow(cons, now, msg->wire_msg_u.append_reply.term, 0);
+            cons_become_follower(cons, now, msg->wire_msg_u.append_reply.term,
+                                 0);
             return;
         }
-        cons_take_append_reply(cons, now, &msg->wire_msg_u.append_reply);
+        cons_handle_append_reply(cons, now, &msg->wire_msg_u.append_reply);
         return;
     case WIRE_SNAPSHOT:
-        cons_take_snapshot(cons, now, &msg->wire_msg_u.snapshot);
+        cons_handle_snapshot(cons, now, &msg->wire_msg_u.snapshot);
         return;
     case WIRE_REPORT:
     case WIRE_LEASE:
@@ -409,7 +408,6 @@
     }
 }
 
-/* Appends a command as the leader. */
 uint64_t
 cons_propose(struct cons *cons, uint64_t now, wire_command *command)
 {
@@ -423,33 +421,30 @@
     bytes = codec_encode_command(command);
     cons_log_append(cons, cons->term, bytes->data, bytes->len);
     g_byte_array_unref(bytes);
-    action = cons_act(cons, CONS_SAVE_ENTRIES);
+    action = cons_add_action(cons, CONS_SAVE_ENTRIES);
     action->index = cons_last_index(cons);
     action->count = 1;
-    cons_broadcast(cons, now);
+    cons_broadcast_append(cons, now);
     return cons_last_index(cons);
 }
 
-/* Begins a round as the leader. */
 uint64_t
-cons_begin_round(struct cons *cons, uint64_t now)
+cons_start_round(struct cons *cons, uint64_t now)
 {
     if (cons->role != CONS_LEADER || cons->failed) {
         return 0;
     }
-    cons_broadcast(cons, now);
+    cons_broadcast_append(cons, now);
     return cons->round;
 }
 
-/* Says whether a leader knows all that was committed before it. */
 bool
 cons_is_ready(const struct cons *cons)
 {
     return cons->role == CONS_LEADER &&
-           cons_term_at(cons, cons->commit) == cons->term;
+           cons_term_at(cons, cons->commit_index) == cons->term;
 }
 
-/* Gives the actions. */
 const struct cons_action *
 cons_actions(struct cons *cons, size_t *count)
 {
@@ -457,7 +452,7 @@
     return (const struct cons_action *)(void *)cons->actions->data;
 }
 
-/* Forgets the actions, and frees what appends borrowed. */
+/* Also frees the entry arrays of append messages. */
 void
 cons_clear_actions(struct cons *cons)
 {
@@ -472,7 +467,7 @@
     g_array_set_size(cons->actions, 0);
 }
 
-/* Stops taking part: what cannot be stored must not be answered. */
+/* A replica that cannot store must not acknowledge or vote. */
 void
 cons_fail(struct cons *cons)
 {
--- a/control-core.c
+++ b/control-core.c
@@ -255,7 +255,7 @@
     if (request->kind == CONTROL_REQUEST_READ) {
         if (fault_is(FAULT_READ_LOCAL) ||
             (cons_is_ready(&core->cons) && core->cons.term == request->term &&
-             core->cons.confirmed >= request->round)) {
+             core->cons.confirmed_round >= request->round)) {
             (void)add_reply(core, request->token);
             return true;
         }
@@ -307,7 +307,7 @@
 update(struct control_core *core, uint64_t now)
 {
     control_move_cons_actions(core);
-    while (core->state.applied < core->cons.commit) {
+    while (core->state.applied < core->cons.commit_index) {
         apply_entry(core, now, core->state.applied + 1);
     }
     compact(core);
@@ -345,7 +345,7 @@
         cons_receive(&core->cons, now, msg);
         for (guint i = 0; i < core->cons.actions->len; i++) {
             if (g_array_index(core->cons.actions, struct cons_action, i)
-                    .kind == CONS_LOAD) {
+                    .kind == CONS_RESTORE_SNAPSHOT) {
                 control_load_snapshot(core);
                 for (size_t j = 0; j < WIRE_EPOCHS_MAX; j++) {
                     core->epoch_ended_at[j] = now;
@@ -434,7 +434,7 @@
         return;
     }
     request = add_request(core, now, token, CONTROL_REQUEST_READ, 0);
-    request->round = cons_begin_round(&core->cons, now);
+    request->round = cons_start_round(&core->cons, now);
     update(core, now);
 }
 
--- a/control-entries.c
+++ b/control-entries.c
@@ -119,7 +119,7 @@
         wire_msg *msg;
 
         if (entry->report_sent_at == 0 ||
-            core->cons.confirmed < entry->report_round) {
+            core->cons.confirmed_round < entry->report_round) {
             continue;
         }
         msg = control_add_send(core, &entry->self);
--- a/control-http.c
+++ b/control-http.c
@@ -68,7 +68,7 @@
      .type = SCHEMA_UINT,
      .required = true,
      .min = 1,
-     .max = CONS_REPLICAS_MAX,
+     .max = CONS_VOTERS_MAX,
      .offset = AT(replica),
      .help = "give the id of a control VM from the settings"},
     {.key = "remove",
@@ -232,7 +232,7 @@
                       struct _u_response *response)
 {
     const struct settings_operator *op =
-        auth_operator(&control->settings, request);
+        auth_find_operator(&control->settings, request);
 
     if (op == NULL) {
         problem_fill(response, 401, "unauthorized",
@@ -322,7 +322,7 @@
     memcpy(req.sign_off.signature, body.signature,
            sizeof(req.sign_off.signature));
     req.sign_off.operator_name = (char *)op->name;
-    if (!auth_check(op, &req.sign_off)) {
+    if (!auth_verify_sign_off(op, &req.sign_off)) {
         (void)status_set(
             &st, STATUS_REFUSED,
             "the signature does not verify with the public key of "
--- a/control-rollout.c
+++ b/control-rollout.c
@@ -301,8 +301,8 @@
             has_voter |= config->voters.voters_val[j].replica == replica;
         }
         if (!has_voter || replica == core->cons.self || peer->identity == 0 ||
-            now > peer->heard_at + CONS_ELECTION_MS ||
-            peer->match < core->cons.commit ||
+            now > peer->last_reply_at + CONS_ELECTION_TIMEOUT_MS ||
+            peer->match_index < core->cons.commit_index ||
             cons_is_voter(&core->cons, replica, peer->identity) ||
             control_state_is_retired(&core->state, peer->identity)) {
             continue;
--- a/control-status.c
+++ b/control-status.c
@@ -105,7 +105,7 @@
     page_add_number(out, "leader", core->cons.leader);
     page_add_number(out, "term", core->cons.term);
     page_add_number(out, "log_last", cons_last_index(&core->cons));
-    page_add_number(out, "log_committed", core->cons.commit);
+    page_add_number(out, "log_committed", core->cons.commit_index);
     page_add_bool(out, "storage_failed", core->cons.failed);
     json_object_object_add(out, "voters", voters_json(core));
     page_add_number(out, "version", core->state.current);
--- a/control.c
+++ b/control.c
@@ -38,22 +38,23 @@
 
     switch (action->kind) {
     case CONS_SAVE_TERM:
-        (void)store_save_term(&control->store, cons->term, cons->vote, &st);
+        (void)store_save_term(&control->store, cons->term, cons->voted_for,
+                              &st);
         break;
     case CONS_SAVE_ENTRIES:
         (void)store_append(&control->store, cons, action->index, action->count,
                            &st);
         break;
-    case CONS_SAVE_CUT:
-        (void)store_cut(&control->store, action->index, &st);
+    case CONS_SAVE_TRUNCATION:
+        (void)store_truncate(&control->store, action->index, &st);
         break;
     case CONS_SAVE_SNAPSHOT:
-        (void)store_snapshot(&control->store, cons, &st);
+        (void)store_save_snapshot(&control->store, cons, &st);
         break;
     case CONS_SEND:
         send_to_replica(control, action);
         break;
-    case CONS_LOAD:
+    case CONS_RESTORE_SNAPSHOT:
         log_event(LOG_INFO, "snapshot-taken", "index=%llu",
                   (unsigned long long)cons->snapshot.index);
         break;
@@ -193,8 +194,8 @@
 open_core(struct control *control, struct status *st)
 {
     struct settings *s = &control->settings;
-    wire_voter voters[CONS_REPLICAS_MAX];
-    uint32_t replicas[CONS_REPLICAS_MAX];
+    wire_voter voters[CONS_VOTERS_MAX];
+    uint32_t replicas[CONS_VOTERS_MAX];
     wire_config bootstrap_voters = {.voters = {.voters_val = voters}};
     struct cons_stored stored;
     uint64_t seed;
@@ -203,9 +204,9 @@
         STATUS_OK) {
         return st->kind;
     }
-    if (control->store.cut_bytes > 0) {
+    if (control->store.torn_bytes > 0) {
         log_event(LOG_WARN, "torn-tail-cut", "bytes=%llu",
-                  (unsigned long long)control->store.cut_bytes);
+                  (unsigned long long)control->store.torn_bytes);
     }
     for (size_t i = 0; i < s->control_count; i++) {
         replicas[i] = (uint32_t)s->controls[i].id;
@@ -233,7 +234,7 @@
     control.settings = *settings;
     control.waiters =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
-    if (!seal_open(settings->cluster_key)) {
+    if (!seal_set_key(settings->cluster_key)) {
         return status_set(st, STATUS_IO, "cannot initialize libsodium");
     }
     if (open_core(&control, st) != STATUS_OK) {
--- a/entry-http.c
+++ b/entry-http.c
@@ -101,10 +101,10 @@
         normalize_host(
             library_ulfius.map_get_case(request->map_header, "Host"), host,
             sizeof(host));
-        auth_hash_key(host, key, spec->key);
+        auth_hash_request_key(host, key, spec->key);
     }
-    auth_hash_two(request_line, request->binary_body,
-                  request->binary_body_length, spec->digest);
+    auth_hash_labelled(request_line, request->binary_body,
+                       request->binary_body_length, spec->digest);
     if (request->client_address != NULL) {
         const struct sockaddr_in *address =
             (const struct sockaddr_in *)request->client_address;
@@ -112,7 +112,7 @@
         (void)inet_ntop(AF_INET, &address->sin_addr, caller, sizeof(caller));
     }
     if (!spec->keyed) {
-        auth_hash_key(caller, request_line, spec->key);
+        auth_hash_request_key(caller, request_line, spec->key);
     }
     spec->subject = hash_bytes(HASH_KEY, spec->key, WIRE_KEY);
     parse_deadline(request, spec);
@@ -264,7 +264,7 @@
         .service = library_ulfius.map_get(request->map_url, "service"),
         .run = run};
 
-    if (auth_operator(&entry->settings, request) == NULL) {
+    if (auth_find_operator(&entry->settings, request) == NULL) {
         problem_fill(response, 401, "unauthorized",
                      "send the operator's token as Authorization: Bearer",
                      NULL, 0);
--- a/entry-peers.c
+++ b/entry-peers.c
@@ -27,8 +27,7 @@
     struct sockaddr_in to = {.sin_family = AF_INET,
                              .sin_port = htons(action->peer.peer),
                              .sin_addr.s_addr = htonl(action->peer.address)};
-    GByteArray *sealed =
-        seal_close_message(action->bytes->data, action->bytes->len);
+    GByteArray *sealed = seal_encrypt(action->bytes->data, action->bytes->len);
 
     counter_add(&entry->counters,
                 is_flow_message(action->msg_kind) ? COUNTER_CONTROL_BYTES_OUT
@@ -42,7 +41,7 @@
 static void
 handle_datagram(struct entry *entry, const uint8_t *bytes, size_t length)
 {
-    GByteArray *plain = seal_open_message(bytes, length);
+    GByteArray *plain = seal_decrypt(bytes, length);
     wire_msg msg;
 
     counter_add(&entry->counters, COUNTER_MSGS_IN, 1);
--- a/entry.c
+++ b/entry.c
@@ -265,7 +265,7 @@
 {
     struct settings *s = &entry->settings;
 
-    if (!seal_open(s->cluster_key)) {
+    if (!seal_set_key(s->cluster_key)) {
         return status_set(st, STATUS_IO,
                           "libsodium cannot be initialized; reinstall it");
     }
--- a/flow-view.c
+++ b/flow-view.c
@@ -301,7 +301,7 @@
 
         if (s->kind == BUNDLE_FLOW) {
             build_service(flow, now, &services[count], s,
-                          before ? bundle_find(before, s->name) : NULL,
+                          before ? bundle_find_service(before, s->name) : NULL,
                           history_known);
             count++;
         }
--- a/node-voter-thread.c
+++ b/node-voter-thread.c
@@ -82,22 +82,22 @@
 
     switch (action->kind) {
     case CONS_SAVE_TERM:
-        (void)store_save_term(&voter.store, cons->term, cons->vote, &st);
+        (void)store_save_term(&voter.store, cons->term, cons->voted_for, &st);
         break;
     case CONS_SAVE_ENTRIES:
         (void)store_append(&voter.store, cons, action->index, action->count,
                            &st);
         break;
-    case CONS_SAVE_CUT:
-        (void)store_cut(&voter.store, action->index, &st);
+    case CONS_SAVE_TRUNCATION:
+        (void)store_truncate(&voter.store, action->index, &st);
         break;
     case CONS_SAVE_SNAPSHOT:
-        (void)store_snapshot(&voter.store, cons, &st);
+        (void)store_save_snapshot(&voter.store, cons, &st);
         break;
     case CONS_SEND:
         send_message(action);
         return true;
-    case CONS_LOAD:
+    case CONS_RESTORE_SNAPSHOT:
         return true;
     }
     elapsed_us = loop_now_us() - started_us;
@@ -194,10 +194,10 @@
     const wire_config *config = cons_config(&voter.replica.cons);
     GString *text;
 
-    if (voter.replica.cons.change_index == voter.logged_config_index) {
+    if (voter.replica.cons.config_index == voter.logged_config_index) {
         return;
     }
-    voter.logged_config_index = voter.replica.cons.change_index;
+    voter.logged_config_index = voter.replica.cons.config_index;
     text = g_string_new(NULL);
     for (u_int i = 0; i < config->voters.voters_len; i++) {
         const wire_voter *v = &config->voters.voters_val[i];
@@ -263,7 +263,7 @@
     GByteArray *bytes;
     uint64_t checksum;
 
-    if (store_read_file(voter.store.folder, INVENTORY_FILE, &bytes, &st) !=
+    if (store_read_file(voter.store.folder_fd, INVENTORY_FILE, &bytes, &st) !=
         STATUS_OK) {
         log_event(LOG_WARN, "inventory-not-read", "message=\"%s\"",
                   st.message);
@@ -296,7 +296,7 @@
 
     g_byte_array_append(file, (const guint8 *)&checksum, sizeof(checksum));
     g_byte_array_append(file, bytes->data, bytes->len);
-    if (store_write_file(voter.store.folder, INVENTORY_FILE, file->data,
+    if (store_write_file(voter.store.folder_fd, INVENTORY_FILE, file->data,
                          file->len, &st) != STATUS_OK) {
         counter_add(&voter.node->counters, COUNTER_STORE_ERRORS, 1);
         log_event(LOG_WARN, "inventory-not-stored", "message=\"%s\"",
@@ -346,7 +346,7 @@
     uint32_t self = node_settings_address(s);
     uint64_t seed;
 
-    if (store_open(&voter.store, s->data, STORE_TAIL_TORN, &stored, &st) !=
+    if (store_open(&voter.store, s->data, STORE_TAIL_TOLERANT, &stored, &st) !=
         STATUS_OK) {
         log_event(LOG_ERROR, "storage-not-opened", "message=\"%s\"",
                   st.message);
@@ -366,7 +366,7 @@
               "identity=%016" PRIx64 " last_index=%" PRIu64 " version=%" PRIu64
               " torn_bytes=%" PRIu64,
               voter.store.identity, cons_last_index(&voter.replica.cons),
-              voter.replica.version, voter.store.cut_bytes);
+              voter.replica.version, voter.store.torn_bytes);
     notify_opened();
     run_actions();
 }
@@ -382,7 +382,7 @@
         voter.replica.cons.leader != 0) {
         return;
     }
-    if (store_found(&voter.store, self, &st) != STATUS_OK) {
+    if (store_bootstrap(&voter.store, self, &st) != STATUS_OK) {
         log_event(LOG_ERROR, "founding-failed", "message=\"%s\"", st.message);
         return;
     }
--- a/node-voter.h
+++ b/node-voter.h
@@ -35,9 +35,9 @@
 /** An update from the voter to the loop; each flag selects fields. */
 struct voter_update {
     struct node *node;
-    bool opened;                        /* sets `identity` to `inventory` */
-    uint64_t identity;                  /* of the disk */
-    uint32_t voters[CONS_REPLICAS_MAX]; /* IPv4 addresses */
+    bool opened;                      /* sets `identity` to `inventory` */
+    uint64_t identity;                /* of the disk */
+    uint32_t voters[CONS_VOTERS_MAX]; /* IPv4 addresses */
     u_int voter_count;
     GByteArray *inventory; /* as saved, or NULL */
     bool has_leader;       /* sets `term` and `leader` */
--- a/replica-voters.c
+++ b/replica-voters.c
@@ -43,11 +43,11 @@
         struct replica_disk *disk = &replica->disks[i - 1];
 
         if (now > disk->last_seen_at + REPLICA_DISK_TIMEOUT_MS) {
-            cons_drop_replica(&replica->cons, disk->address);
+            cons_remove_peer(&replica->cons, disk->address);
             *disk = replica->disks[--replica->disk_count];
         }
         else {
-            (void)cons_add_replica(&replica->cons, now, disk->address);
+            (void)cons_add_peer(&replica->cons, now, disk->address);
         }
     }
 }
@@ -61,7 +61,7 @@
     for (size_t i = 0; i < cons->replica_count; i++) {
         if (cons->replicas[i] == address && address != cons->self) {
             return cons->peers[i].identity == identity &&
-                   cons->peers[i].match >= cons->commit;
+                   cons->peers[i].match_index >= cons->commit_index;
         }
     }
     return address == cons->self && identity == cons->identity;
@@ -100,7 +100,7 @@
 
     for (size_t i = 0; i < cons->replica_count; i++) {
         if (cons->replicas[i] == address) {
-            return cons->peers[i].heard_at;
+            return cons->peers[i].last_reply_at;
         }
     }
     return 0;
@@ -147,7 +147,7 @@
     for (size_t i = 0; i < replica->disk_count; i++) {
         disks += now <= replica->disks[i].last_seen_at + REPLICA_DISK_FRESH_MS;
     }
-    disks = MIN(disks, CONS_REPLICAS_MAX);
+    disks = MIN(disks, CONS_VOTERS_MAX);
     return disks % 2 == 0 ? disks - 1 : disks;
 }
 
@@ -217,15 +217,15 @@
 void
 replica_update_voters(struct replica *replica, uint64_t now)
 {
-    wire_voter voters[CONS_REPLICAS_MAX];
+    wire_voter voters[CONS_VOTERS_MAX];
     const wire_config *latest = cons_config(&replica->cons);
     wire_command command = {.kind = WIRE_CMD_CONFIG};
     wire_config *config = &command.wire_command_u.config;
     bool changed = false;
 
     if (!cons_is_ready(&replica->cons) ||
-        replica->cons.change_index > replica->cons.commit ||
-        latest->voters.voters_len > CONS_REPLICAS_MAX) {
+        replica->cons.config_index > replica->cons.commit_index ||
+        latest->voters.voters_len > CONS_VOTERS_MAX) {
         return;
     }
     config->voters.voters_val = voters;
--- a/replica.c
+++ b/replica.c
@@ -7,7 +7,7 @@
 #include "fault.h"
 
 /* After stepping down, a replica starts no election before other voters do. */
-#define STEP_DOWN_MS (4 * CONS_ELECTION_MS)
+#define STEP_DOWN_MS (4 * CONS_ELECTION_TIMEOUT_MS)
 
 static struct replica_action *
 add_action(struct replica *replica, enum replica_action_kind kind)
@@ -129,7 +129,7 @@
 apply_committed(struct replica *replica)
 {
     install_snapshot(replica);
-    while (replica->applied < replica->cons.commit) {
+    while (replica->applied < replica->cons.commit_index) {
         const struct cons_entry *entry =
             cons_entry_at(&replica->cons, replica->applied + 1);
 
@@ -213,7 +213,7 @@
         return true;
     }
     if (request->read
-            ? cons->confirmed >= request->round && cons_is_ready(cons)
+            ? cons->confirmed_round >= request->round && cons_is_ready(cons)
             : replica->applied >= request->index) {
         reply(replica, request->token, STATUS_OK, "", request->read);
         return true;
@@ -298,7 +298,7 @@
     replica->ready_at = replica->bootstrapped_at != 0
                             ? replica->bootstrapped_at + REPLICA_JOIN_MS
                             : now;
-    if (replica->bootstrapped_at != 0 && cons->change_index == 0) {
+    if (replica->bootstrapped_at != 0 && cons->config_index == 0) {
         wire_command command = {.kind = WIRE_CMD_CONFIG};
 
         command.wire_command_u.config = *cons_config(cons);
@@ -436,7 +436,7 @@
     if (!accepts_requests(replica, now, token)) {
         return;
     }
-    request.round = cons_begin_round(&replica->cons, now);
+    request.round = cons_start_round(&replica->cons, now);
     g_array_append_val(replica->pending, request);
     finish_event(replica, now);
 }
--- a/rpc.c
+++ b/rpc.c
@@ -62,8 +62,8 @@
 static void
 take_envelope(const wire_envelope *envelope)
 {
-    GByteArray *plain = seal_open_message(envelope->sealed.sealed_val,
-                                          envelope->sealed.sealed_len);
+    GByteArray *plain =
+        seal_decrypt(envelope->sealed.sealed_val, envelope->sealed.sealed_len);
     struct delivery *delivery;
 
     counter_add(rpc_state.counters, COUNTER_MSGS_IN, 1);
@@ -322,7 +322,7 @@
         return;
     }
     parcel = g_new(struct parcel, 1);
-    parcel->sealed = seal_close_message(bytes->data, bytes->len);
+    parcel->sealed = seal_encrypt(bytes->data, bytes->len);
     parcel->deadline = loop_now() + RPC_OLD_MS;
     counter_add(rpc_state.counters, COUNTER_CONTROL_BYTES_OUT,
                 parcel->sealed->len);
--- a/seal.c
+++ b/seal.c
@@ -1,4 +1,4 @@
-/* Sealing of messages, on libsodium. */
+/* Encryption of messages with libsodium. */
 #include "seal.h"
 
 #include <sodium.h>
@@ -10,17 +10,16 @@
 
 static unsigned char seal_key[SEAL_KEY_BYTES];
 
-/* Sets the key. */
 bool
-seal_open(const unsigned char key[SEAL_KEY_BYTES])
+seal_set_key(const unsigned char key[SEAL_KEY_BYTES])
 {
     memcpy(seal_key, key, sizeof(seal_key));
     return sodium_init() >= 0;
 }
 
-/* Seals a message: a random nonce, then the box. */
+/* Layout: nonce, MAC, ciphertext. */
 GByteArray *
-seal_close_message(const void *bytes, size_t length)
+seal_encrypt(const void *bytes, size_t length)
 {
     GByteArray *out = g_byte_array_new();
 
@@ -31,9 +30,8 @@
     return out;
 }
 
-/* Opens a message. */
 GByteArray *
-seal_open_message(const void *bytes, size_t length)
+seal_decrypt(const void *bytes, size_t length)
 {
     const unsigned char *in = bytes;
     GByteArray *out;
--- a/seal.h
+++ b/seal.h
@@ -1,8 +1,7 @@
 /**
  * @file seal.h
- * Messages between processes are sealed with the deployment's shared key
- * (libsodium secretbox, XSalsa20-Poly1305), so that a stranger on the network
- * can neither read nor make one.
+ * Authenticated encryption of messages between processes with the shared
+ * cluster key (libsodium secretbox, XSalsa20-Poly1305).
  */
 #ifndef RIDGERIDGE_SEAL_H
 #define RIDGERIDGE_SEAL_H
@@ -12,15 +11,15 @@
 #include <stddef.h>
 
 #define SEAL_KEY_BYTES 32
-#define SEAL_OVERHEAD 40 /**< bytes a sealed message is longer */
+#define SEAL_OVERHEAD 40 /**< bytes of nonce and MAC per message */
 
-/** Sets the key of this process; 32 bytes. False if libsodium fails. */
-bool seal_open(const unsigned char key[SEAL_KEY_BYTES]);
+/** Sets the key of this process. False if libsodium fails to initialize. */
+bool seal_set_key(const unsigned char key[SEAL_KEY_BYTES]);
 
-/** Seals bytes; free the array with g_byte_array_unref(). */
-GByteArray *seal_close_message(const void *bytes, size_t length);
+/** Encrypts under a random nonce; free with g_byte_array_unref(). */
+GByteArray *seal_encrypt(const void *bytes, size_t length);
 
-/** Opens a sealed message; NULL when it was not made with the key. */
-GByteArray *seal_open_message(const void *bytes, size_t length);
+/** Returns NULL when the message is too short or not authentic. */
+GByteArray *seal_decrypt(const void *bytes, size_t length);
 
 #endif
--- a/store-file.c
+++ b/store-file.c
@@ -1,7 +1,4 @@
-/*
- * Whole files of a data folder: read at once, and written so that either the
- * old or the new one is there.
- */
+/* Atomic replacement and reading of small files in a data folder. */
 #include "store-internal.h"
 
 #include <errno.h>
@@ -10,27 +7,25 @@
 #include <sys/stat.h>
 #include <unistd.h>
 
-/* Reports an error of the operating system. */
 enum status_kind
-store_io_error(struct status *st, const char *what, const char *name)
+store_io_error(struct status *st, const char *operation, const char *name)
 {
     return status_set(st, STATUS_IO,
-                      "%s %s: %s; check space and rights of the data folder",
-                      what, name, g_strerror(errno));
+                      "cannot %s %s: %s; check space and permissions of the "
+                      "data folder",
+                      operation, name, g_strerror(errno));
 }
 
-/* Reports damage, with the remedy. */
 enum status_kind
 store_damaged(struct status *st, const char *name, uint64_t at)
 {
     return status_set(st, STATUS_DAMAGED,
                       "%s is damaged at byte %llu; move the data folder "
-                      "aside and start again: this replica then joins with "
-                      "a new identity and copies the log from the others",
+                      "aside and restart: the replica then joins with a new "
+                      "identity and copies the log from its peers",
                       name, (unsigned long long)at);
 }
 
-/* Writes all bytes. */
 bool
 store_write_all(int fd, const void *bytes, size_t length)
 {
@@ -51,7 +46,6 @@
     return true;
 }
 
-/* Writes a file whole, so that either the old or the new one is there. */
 enum status_kind
 store_write_file(int folder, const char *name, const void *bytes,
                  size_t length, struct status *st)
@@ -76,7 +70,7 @@
     return STATUS_OK;
 }
 
-/* Reads what an open file holds. */
+/* Shrinks the array when the file ends early. */
 static bool
 read_all(int fd, GByteArray *out)
 {
@@ -100,8 +94,7 @@
     return true;
 }
 
-/* Reads a small file. One that is there and cannot be read is an error of the
- * disk, neither a new disk nor damage. */
+/* An unreadable file is STATUS_IO, neither missing nor damaged. */
 enum status_kind
 store_read_file(int folder, const char *name, GByteArray **out,
                 struct status *st)
--- a/store-load.c
+++ b/store-load.c
@@ -1,6 +1,6 @@
 /*
- * What a data folder holds at a start: identity, term and vote, snapshot and
- * log; a torn tail is cut, damage is refused.
+ * Loading a data folder: identity, term and vote, snapshot and log. A torn
+ * tail of the log is truncated; any other damage is an error.
  */
 #include "store-internal.h"
 
@@ -13,18 +13,16 @@
 #include "codec.h"
 #include "hash.h"
 
-/* Checksum of a record. */
 uint64_t
 store_record_checksum(const struct record_header *header, const void *command)
 {
-    uint64_t head = hash_bytes(HASH_NAME, header,
-                               offsetof(struct record_header, checksum));
+    uint64_t header_hash = hash_bytes(
+        HASH_NAME, header, offsetof(struct record_header, checksum));
 
-    return hash_pair(HASH_NAME, head,
+    return hash_pair(HASH_NAME, header_hash,
                      hash_bytes(HASH_NAME, command, header->length));
 }
 
-/* Reads the file of term and vote. */
 enum status_kind
 store_load_vote(struct store *store, struct cons_stored *stored,
                 struct status *st)
@@ -32,7 +30,7 @@
     GByteArray *bytes;
     struct vote_file file;
 
-    if (store_read_file(store->folder, "vote", &bytes, st) != STATUS_OK) {
+    if (store_read_file(store->folder_fd, "vote", &bytes, st) != STATUS_OK) {
         return st->kind;
     }
     if (bytes == NULL) {
@@ -49,18 +47,17 @@
         return store_damaged(st, "vote", 0);
     }
     stored->term = file.term;
-    stored->vote = (uint32_t)file.vote;
+    stored->voted_for = (uint32_t)file.vote;
     return STATUS_OK;
 }
 
-/* Takes voters and state out of a snapshot file that was checked. */
 static bool
-unpack_snapshot(const struct snapshot_file *file, const guint8 *body,
+decode_snapshot(const struct snapshot_file *file, const guint8 *body,
                 struct cons_snapshot *out)
 {
     wire_command voters;
 
-    if (!codec_decode_command(body, file->voters, &voters)) {
+    if (!codec_decode_command(body, file->voters_length, &voters)) {
         return false;
     }
     if (voters.kind != WIRE_CMD_CONFIG) {
@@ -70,11 +67,10 @@
     out->index = file->index;
     out->term = file->term;
     out->config = voters.wire_command_u.config;
-    out->state = g_bytes_new(body + file->voters, file->state);
+    out->state = g_bytes_new(body + file->voters_length, file->state_length);
     return true;
 }
 
-/* Reads the snapshot. */
 enum status_kind
 store_load_snapshot(struct store *store, struct cons_stored *stored,
                     struct status *st)
@@ -84,7 +80,8 @@
     const guint8 *body;
     bool ok;
 
-    if (store_read_file(store->folder, "snapshot", &bytes, st) != STATUS_OK) {
+    if (store_read_file(store->folder_fd, "snapshot", &bytes, st) !=
+        STATUS_OK) {
         return st->kind;
     }
     if (bytes == NULL) {
@@ -95,41 +92,42 @@
         memcpy(&file, bytes->data, sizeof(file));
         body = bytes->data + sizeof(file);
         ok = file.magic == SNAPSHOT_MAGIC &&
-             file.voters <= bytes->len - sizeof(file) &&
-             file.state == bytes->len - sizeof(file) - file.voters &&
+             file.voters_length <= bytes->len - sizeof(file) &&
+             file.state_length ==
+                 bytes->len - sizeof(file) - file.voters_length &&
              file.checksum ==
                  hash_pair(
                      HASH_NAME,
                      hash_bytes(HASH_NAME, &file,
                                 offsetof(struct snapshot_file, checksum)),
                      hash_bytes(HASH_NAME, body, bytes->len - sizeof(file))) &&
-             unpack_snapshot(&file, body, &stored->snapshot);
+             decode_snapshot(&file, body, &stored->snapshot);
     }
     g_byte_array_unref(bytes);
     return ok ? STATUS_OK : store_damaged(st, "snapshot", 0);
 }
 
-/* Says whether all bytes from a place on are zero. */
 static bool
-is_zero(const GByteArray *bytes, size_t from)
+is_zero_filled(const GByteArray *bytes, size_t offset)
 {
-    while (from < bytes->len && bytes->data[from] == 0) {
-        from++;
+    while (offset < bytes->len && bytes->data[offset] == 0) {
+        offset++;
     }
-    return from == bytes->len;
+    return offset == bytes->len;
 }
 
-/* Reads one record; 0 for a torn tail, -1 for damage, else its length. */
+/* Returns the length of a record, 0 for a torn tail, -1 for damage. */
 static ssize_t
-read_record(const GByteArray *bytes, size_t at, struct record_header *out)
+parse_record(const GByteArray *bytes, size_t at, struct record_header *out)
 {
     size_t left = bytes->len - at;
 
-    if (left < sizeof(*out) || is_zero(bytes, at)) {
+    if (left < sizeof(*out) || is_zero_filled(bytes, at)) {
         return 0;
     }
     memcpy(out, bytes->data + at, sizeof(*out));
-    if ((out->magic != RECORD_MAGIC && out->magic != RECORD_NEXT_MAGIC) ||
+    if ((out->magic != RECORD_FIRST_MAGIC &&
+         out->magic != RECORD_NEXT_MAGIC) ||
         out->length > RECORD_MAX) {
         return -1;
     }
@@ -143,16 +141,16 @@
     return (ssize_t)(sizeof(*out) + out->length);
 }
 
-/* Takes one record into the log, unless the snapshot holds it. */
+/* A record that the snapshot includes is only indexed, not loaded. */
 static bool
-take_record(struct store *store, const struct record_header *header,
-            const guint8 *command, off_t at, struct cons_stored *stored)
+add_record(struct store *store, const struct record_header *header,
+           const guint8 *command, off_t at, struct cons_stored *stored)
 {
-    uint64_t next = store->first + store->offsets->len;
+    uint64_t next = store->first_index + store->offsets->len;
     struct cons_entry entry;
 
     if (store->offsets->len == 0) {
-        store->first = header->index;
+        store->first_index = header->index;
     }
     else if (header->index != next) {
         return false;
@@ -161,30 +159,29 @@
     if (header->index <= stored->snapshot.index) {
         return true;
     }
-    stored->commit = MAX(stored->commit, header->commit);
+    stored->commit_index = MAX(stored->commit_index, header->commit_index);
     entry.term = header->term;
     entry.command = g_bytes_new(command, header->length);
     g_array_append_val(stored->log, entry);
     return header->index == stored->snapshot.index + stored->log->len;
 }
 
-/* Says whether a record that begins a later sync follows a bad place: then
- * the bad place had been synced, and is damage rather than a torn write. */
+/* Looks for the first record of a batch after a bad offset; if there is one,
+ * the bad bytes had been synced and are damage rather than a torn write. */
 static bool
-is_proved_synced(const GByteArray *bytes, size_t bad)
+has_later_sync(const GByteArray *bytes, size_t offset)
 {
     struct record_header header;
 
-    for (size_t at = bad + 1; at + sizeof(header) <= bytes->len; at++) {
-        if (read_record(bytes, at, &header) > 0 &&
-            header.magic == RECORD_MAGIC) {
+    for (size_t at = offset + 1; at + sizeof(header) <= bytes->len; at++) {
+        if (parse_record(bytes, at, &header) > 0 &&
+            header.magic == RECORD_FIRST_MAGIC) {
             return true;
         }
     }
     return false;
 }
 
-/* Reads the records of the log; cuts a torn tail, refuses damage. */
 static enum status_kind
 load_records(struct store *store, const GByteArray *bytes,
              struct cons_stored *stored, struct status *st)
@@ -194,21 +191,21 @@
 
     while (at < bytes->len) {
         struct record_header header;
-        ssize_t length = read_record(bytes, at, &header);
+        ssize_t length = parse_record(bytes, at, &header);
 
-        if (length <= 0 && store->tail == STORE_TAIL_TORN) {
-            length = is_proved_synced(bytes, at) ? -1 : 0;
+        if (length <= 0 && store->tail_policy == STORE_TAIL_TOLERANT) {
+            length = has_later_sync(bytes, at) ? -1 : 0;
         }
         if (length < 0 ||
             (length > 0 &&
-             !take_record(store, &header, bytes->data + at + sizeof(header),
-                          (off_t)at, stored))) {
+             !add_record(store, &header, bytes->data + at + sizeof(header),
+                         (off_t)at, stored))) {
             return store_damaged(st, "log", at);
         }
         if (length == 0) {
-            store->cut_bytes = bytes->len - at;
-            if (ftruncate(store->log, (off_t)at) != 0 ||
-                fsync(store->log) != 0) {
+            store->torn_bytes = bytes->len - at;
+            if (ftruncate(store->log_fd, (off_t)at) != 0 ||
+                fsync(store->log_fd) != 0) {
                 return store_io_error(st, "cut", "log");
             }
             break;
@@ -220,7 +217,7 @@
     return STATUS_OK;
 }
 
-/* Opens the log, or makes an empty one. */
+/* Creates an empty log when it is missing or empty. */
 enum status_kind
 store_load_log(struct store *store, struct cons_stored *stored,
                struct status *st)
@@ -229,23 +226,24 @@
     GByteArray *bytes;
     enum status_kind kind;
 
-    if (store_read_file(store->folder, "log", &bytes, st) != STATUS_OK) {
+    if (store_read_file(store->folder_fd, "log", &bytes, st) != STATUS_OK) {
         return st->kind;
     }
     if (bytes == NULL || bytes->len == 0) {
         if (bytes != NULL) {
             g_byte_array_unref(bytes);
         }
-        if (store_write_file(store->folder, "log", &magic, sizeof(magic),
+        if (store_write_file(store->folder_fd, "log", &magic, sizeof(magic),
                              st) != STATUS_OK) {
             return st->kind;
         }
-        if (store_read_file(store->folder, "log", &bytes, st) != STATUS_OK) {
+        if (store_read_file(store->folder_fd, "log", &bytes, st) !=
+            STATUS_OK) {
             return st->kind;
         }
     }
-    store->log = openat(store->folder, "log", O_RDWR | O_CLOEXEC);
-    if (store->log < 0 || bytes == NULL) {
+    store->log_fd = openat(store->folder_fd, "log", O_RDWR | O_CLOEXEC);
+    if (store->log_fd < 0 || bytes == NULL) {
         return store_io_error(st, "open", "log");
     }
     if (bytes->len < sizeof(magic) ||
@@ -256,23 +254,24 @@
         kind = load_records(store, bytes, stored, st);
     }
     g_byte_array_unref(bytes);
-    store->first = MAX(store->first, 1);
+    store->first_index = MAX(store->first_index, 1);
     return kind;
 }
 
-/* Reads the identity, or draws a new one for a new disk. */
+/* Draws a random identity, above all replica numbers, for a new disk. */
 enum status_kind
 store_load_identity(struct store *store, struct status *st)
 {
     GByteArray *bytes;
 
-    if (store_read_file(store->folder, "identity", &bytes, st) != STATUS_OK) {
+    if (store_read_file(store->folder_fd, "identity", &bytes, st) !=
+        STATUS_OK) {
         return st->kind;
     }
     if (bytes != NULL && bytes->len == sizeof(store->identity)) {
         memcpy(&store->identity, bytes->data, sizeof(store->identity));
         g_byte_array_unref(bytes);
-        store->founder = store->identity <= CONS_REPLICAS_MAX;
+        store->founder = store->identity <= CONS_VOTERS_MAX;
         return STATUS_OK;
     }
     if (bytes != NULL) {
@@ -281,7 +280,7 @@
     }
     do {
         randombytes_buf(&store->identity, sizeof(store->identity));
-    } while (store->identity <= CONS_REPLICAS_MAX);
-    return store_write_file(store->folder, "identity", &store->identity,
+    } while (store->identity <= CONS_VOTERS_MAX);
+    return store_write_file(store->folder_fd, "identity", &store->identity,
                             sizeof(store->identity), st);
 }
--- a/store.c
+++ b/store.c
@@ -1,7 +1,4 @@
-/*
- * The data folder of a control replica. Only the store*.c files write the
- * state of control; its format is in docs/STATE.md.
- */
+/* Writing the data folder of a control replica. */
 #include "store-internal.h"
 
 #include <errno.h>
@@ -14,62 +11,60 @@
 #include "codec.h"
 #include "hash.h"
 
-/* Opens and locks the folder. */
 static enum status_kind
 open_folder(struct store *store, const char *path, struct status *st)
 {
     g_strlcpy(store->path, path, sizeof(store->path));
     (void)mkdir(path, 0700);
-    store->folder = open(path, O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-    if (store->folder < 0) {
+    store->folder_fd = open(path, O_RDONLY | O_DIRECTORY | O_CLOEXEC);
+    if (store->folder_fd < 0) {
         return store_io_error(st, "open", path);
     }
-    store->lock =
-        openat(store->folder, "lock", O_RDWR | O_CREAT | O_CLOEXEC, 0600);
-    if (store->lock < 0) {
+    store->lock_fd =
+        openat(store->folder_fd, "lock", O_RDWR | O_CREAT | O_CLOEXEC, 0600);
+    if (store->lock_fd < 0) {
         return store_io_error(st, "create", "lock");
     }
-    if (flock(store->lock, LOCK_EX | LOCK_NB) != 0) {
+    if (flock(store->lock_fd, LOCK_EX | LOCK_NB) != 0) {
         return status_set(st, STATUS_REFUSED,
-                          "%s is used by another process; stop that one "
-                          "first",
+                          "data folder %s is locked by another process; stop "
+                          "that process first",
                           path);
     }
     return STATUS_OK;
 }
 
-/* Empties a log that ends before the snapshot: a crash came between the
- * two, and records appended later would leave a gap. */
+/* Empties a log that ends before the snapshot, after a crash between the two
+ * writes; appended records would leave a gap. */
 static enum status_kind
 drop_stale_log(struct store *store, const struct cons_stored *stored,
                struct status *st)
 {
-    off_t begin = sizeof(uint64_t);
-    uint64_t next = store->first + store->offsets->len - 1;
+    off_t start = sizeof(uint64_t);
+    uint64_t next = store->first_index + store->offsets->len - 1;
 
     if (store->offsets->len > 1 && next > stored->snapshot.index) {
         return STATUS_OK;
     }
-    if (ftruncate(store->log, begin) != 0 || fsync(store->log) != 0) {
+    if (ftruncate(store->log_fd, start) != 0 || fsync(store->log_fd) != 0) {
         return store_io_error(st, "cut", "log");
     }
     g_array_set_size(store->offsets, 0);
-    g_array_append_val(store->offsets, begin);
-    store->first = stored->snapshot.index + 1;
+    g_array_append_val(store->offsets, start);
+    store->first_index = stored->snapshot.index + 1;
     return STATUS_OK;
 }
 
-/* Opens a data folder. */
 enum status_kind
-store_open(struct store *store, const char *path, enum store_tail tail,
+store_open(struct store *store, const char *path, enum store_tail_policy tail,
            struct cons_stored *stored, struct status *st)
 {
     memset(store, 0, sizeof(*store));
-    store->tail = tail;
+    store->tail_policy = tail;
     memset(stored, 0, sizeof(*stored));
     st->kind = STATUS_OK;
-    store->log = -1;
-    store->lock = -1;
+    store->log_fd = -1;
+    store->lock_fd = -1;
     store->offsets = g_array_new(FALSE, FALSE, sizeof(off_t));
     stored->log = g_array_new(FALSE, FALSE, sizeof(struct cons_entry));
     if (open_folder(store, path, st) != STATUS_OK ||
@@ -82,13 +77,12 @@
     return drop_stale_log(store, stored, st);
 }
 
-/* Makes an empty folder the founder's. */
 enum status_kind
-store_found(struct store *store, uint32_t replica, struct status *st)
+store_bootstrap(struct store *store, uint32_t replica, struct status *st)
 {
     uint64_t identity = replica;
 
-    if (store_write_file(store->folder, "identity", &identity,
+    if (store_write_file(store->folder_fd, "identity", &identity,
                          sizeof(identity), st) == STATUS_OK) {
         store->identity = identity;
         store->founder = true;
@@ -96,7 +90,6 @@
     return st->kind;
 }
 
-/* Removes the state of a damaged folder. */
 enum status_kind
 store_wipe(const char *path, struct status *st)
 {
@@ -118,7 +111,6 @@
     return st->kind;
 }
 
-/* Makes the folder of a founder. */
 enum status_kind
 store_init(const char *path, uint32_t replica, struct status *st)
 {
@@ -133,8 +125,8 @@
     if (faccessat(folder, "identity", F_OK, 0) == 0) {
         (void)close(folder);
         return status_set(st, STATUS_REFUSED,
-                          "%s already holds a replica; init is only for the "
-                          "first install",
+                          "data folder %s already holds a replica; run "
+                          "init-control only at the first install",
                           path);
     }
     (void)store_write_file(folder, "identity", &identity, sizeof(identity),
@@ -143,23 +135,21 @@
     return st->kind;
 }
 
-/* Closes the folder. */
 void
 store_close(struct store *store)
 {
-    if (store->log >= 0) {
-        (void)close(store->log);
+    if (store->log_fd >= 0) {
+        (void)close(store->log_fd);
     }
-    if (store->lock >= 0) {
-        (void)close(store->lock);
+    if (store->lock_fd >= 0) {
+        (void)close(store->lock_fd);
     }
-    if (store->folder >= 0) {
-        (void)close(store->folder);
+    if (store->folder_fd >= 0) {
+        (void)close(store->folder_fd);
     }
     g_clear_pointer(&store->offsets, g_array_unref);
 }
 
-/* Stores term and vote. */
 enum status_kind
 store_save_term(struct store *store, uint64_t term, uint32_t vote,
                 struct status *st)
@@ -167,13 +157,12 @@
     struct vote_file file = {.magic = VOTE_MAGIC, .term = term, .vote = vote};
 
     file.checksum = hash_pair(HASH_NAME, file.term, file.vote);
-    return store_write_file(store->folder, "vote", &file, sizeof(file), st);
+    return store_write_file(store->folder_fd, "vote", &file, sizeof(file), st);
 }
 
-/* Adds one record to a buffer. */
 static void
-pack_record(GByteArray *out, uint32_t magic, uint64_t index,
-            const struct cons *cons)
+encode_record(GByteArray *out, uint32_t magic, uint64_t index,
+              const struct cons *cons)
 {
     const struct cons_entry *entry = cons_entry_at(cons, index);
     gsize length = 0;
@@ -182,45 +171,44 @@
                                    .length = (uint32_t)length,
                                    .index = index,
                                    .term = entry->term,
-                                   .commit = cons->commit};
+                                   .commit_index = cons->commit_index};
 
     header.checksum = store_record_checksum(&header, command);
     g_byte_array_append(out, (const guint8 *)&header, sizeof(header));
     g_byte_array_append(out, command, (guint)length);
 }
 
-/* Place of a record in the log file; the end when there is none. */
+/* Returns the end of the log for an index past it. */
 static off_t
-offset_of(const struct store *store, uint64_t index)
+record_offset(const struct store *store, uint64_t index)
 {
-    uint64_t place = index - store->first;
+    uint64_t slot = index - store->first_index;
 
-    if (place >= store->offsets->len) {
-        place = store->offsets->len - 1;
+    if (slot >= store->offsets->len) {
+        slot = store->offsets->len - 1;
     }
-    return g_array_index(store->offsets, off_t, place);
+    return g_array_index(store->offsets, off_t, slot);
 }
 
-/* Drops records from an index on. */
 enum status_kind
-store_cut(struct store *store, uint64_t index, struct status *st)
+store_truncate(struct store *store, uint64_t index, struct status *st)
 {
-    off_t end = offset_of(store, index);
+    off_t end = record_offset(store, index);
 
-    if (index < store->first) {
-        index = store->first;
+    if (index < store->first_index) {
+        index = store->first_index;
         end = g_array_index(store->offsets, off_t, 0);
     }
-    if (ftruncate(store->log, end) != 0 || fsync(store->log) != 0) {
+    if (ftruncate(store->log_fd, end) != 0 || fsync(store->log_fd) != 0) {
         return store_io_error(st, "cut", "log");
     }
-    if (index - store->first + 1 < store->offsets->len) {
-        g_array_set_size(store->offsets, (guint)(index - store->first + 1));
+    if (index - store->first_index + 1 < store->offsets->len) {
+        g_array_set_size(store->offsets,
+                         (guint)(index - store->first_index + 1));
     }
     return STATUS_OK;
 }
 
-/* Appends records. */
 enum status_kind
 store_append(struct store *store, const struct cons *cons, uint64_t index,
              uint32_t count, struct status *st)
@@ -232,21 +220,20 @@
     for (uint32_t i = 0; i < count; i++) {
         off_t next;
 
-        pack_record(out, i == 0 ? RECORD_MAGIC : RECORD_NEXT_MAGIC, index + i,
-                    cons);
+        encode_record(out, i == 0 ? RECORD_FIRST_MAGIC : RECORD_NEXT_MAGIC,
+                      index + i, cons);
         next = end + (off_t)out->len;
         g_array_append_val(store->offsets, next);
     }
-    ok = lseek(store->log, end, SEEK_SET) == end &&
-         store_write_all(store->log, out->data, out->len) &&
-         fdatasync(store->log) == 0;
+    ok = lseek(store->log_fd, end, SEEK_SET) == end &&
+         store_write_all(store->log_fd, out->data, out->len) &&
+         fdatasync(store->log_fd) == 0;
     g_byte_array_unref(out);
     return ok ? STATUS_OK : store_io_error(st, "append to", "log");
 }
 
-/* Packs the snapshot file. */
 static GByteArray *
-pack_snapshot(const struct cons *cons)
+encode_snapshot(const struct cons *cons)
 {
     const struct cons_snapshot *s = &cons->snapshot;
     wire_command command = {.kind = WIRE_CMD_CONFIG,
@@ -257,8 +244,8 @@
     struct snapshot_file file = {.magic = SNAPSHOT_MAGIC,
                                  .index = s->index,
                                  .term = s->term,
-                                 .voters = voters->len,
-                                 .state = length};
+                                 .voters_length = voters->len,
+                                 .state_length = length};
     GByteArray *out = g_byte_array_new();
 
     g_byte_array_append(out, (const guint8 *)&file, sizeof(file));
@@ -274,7 +261,7 @@
     return out;
 }
 
-/* Writes the log anew, with the entries after the snapshot only. */
+/* Writes a new log with only the entries after the snapshot. */
 static enum status_kind
 rewrite_log(struct store *store, const struct cons *cons, struct status *st)
 {
@@ -289,29 +276,31 @@
 
         g_array_append_val(store->offsets, at);
         if (i <= cons_last_index(cons)) {
-            pack_record(out, i == first ? RECORD_MAGIC : RECORD_NEXT_MAGIC, i,
-                        cons);
+            encode_record(out,
+                          i == first ? RECORD_FIRST_MAGIC : RECORD_NEXT_MAGIC,
+                          i, cons);
         }
     }
-    store->first = first;
-    (void)store_write_file(store->folder, "log", out->data, out->len, st);
+    store->first_index = first;
+    (void)store_write_file(store->folder_fd, "log", out->data, out->len, st);
     g_byte_array_unref(out);
-    (void)close(store->log);
-    store->log = openat(store->folder, "log", O_RDWR | O_CLOEXEC);
-    if (store->log < 0) {
+    (void)close(store->log_fd);
+    store->log_fd = openat(store->folder_fd, "log", O_RDWR | O_CLOEXEC);
+    if (store->log_fd < 0) {
         return store_io_error(st, "open", "log");
     }
     return st->kind;
 }
 
-/* Stores the snapshot, then the shorter log. */
 enum status_kind
-store_snapshot(struct store *store, const struct cons *cons, struct status *st)
+store_save_snapshot(struct store *store, const struct cons *cons,
+                    struct status *st)
 {
-    GByteArray *out = pack_snapshot(cons);
+    GByteArray *out = encode_snapshot(cons);
 
     st->kind = STATUS_OK;
-    (void)store_write_file(store->folder, "snapshot", out->data, out->len, st);
+    (void)store_write_file(store->folder_fd, "snapshot", out->data, out->len,
+                           st);
     g_byte_array_unref(out);
     if (st->kind != STATUS_OK) {
         return st->kind;
--- a/store.h
+++ b/store.h
@@ -1,9 +1,9 @@
 /**
  * @file store.h
- * What a control replica keeps on disk, under its data folder: identity,
- * term and vote, snapshot, and the log with a checksum on each record. The
- * format is described in docs/STATE.md. A call that returns STATUS_OK has
- * synced what it wrote.
+ * Persistent state of a control replica in its data folder: disk identity,
+ * Raft term and vote, snapshot, and a log with a checksum per record; the
+ * format is in docs/STATE.md. Calls that return STATUS_OK have synced their
+ * writes.
  */
 #ifndef RIDGERIDGE_STORE_H
 #define RIDGERIDGE_STORE_H
@@ -14,76 +14,76 @@
 #include "cons.h"
 #include "status.h"
 
-/** What a bad record at the end of the log means. */
-enum store_tail {
-    STORE_TAIL_STRICT, /**< damage: an operator looks at the disk */
-    STORE_TAIL_TORN    /**< a write cut by a loss of power, unless a later
-                            batch proves that it was synced */
+/** Handling of invalid bytes at the end of the log. An incomplete last record
+ * is truncated under either policy. */
+enum store_tail_policy {
+    STORE_TAIL_STRICT,  /**< STATUS_DAMAGED; an operator checks the disk */
+    STORE_TAIL_TOLERANT /**< truncated, unless a later batch shows that it was
+                            synced */
 };
 
 /** An open data folder. */
 struct store {
-    char path[256];       /**< the folder */
-    int folder;           /**< its descriptor */
-    int lock;             /**< held while the process lives */
-    int log;              /**< descriptor of the log */
-    uint64_t first;       /**< index of the first record in the log */
+    char path[256]; /**< of the folder */
+    int folder_fd;
+    int lock_fd; /**< locked while the folder is open */
+    int log_fd;
+    uint64_t first_index; /**< index of the first record in the log */
     GArray *offsets;      /**< off_t of each record, and of the end */
-    uint64_t identity;    /**< of this disk */
-    bool founder;         /**< the folder was made by init */
-    enum store_tail tail; /**< how a bad end is taken */
-    uint64_t cut_bytes;   /**< of a torn tail, cut at open */
+    uint64_t identity;    /**< of the disk; drawn for a new folder */
+    bool founder;         /**< bootstrap voter: the identity is its number */
+    enum store_tail_policy tail_policy;
+    uint64_t torn_bytes; /**< truncated from the end of the log at open */
 };
 
 /**
- * Opens a data folder, and makes an identity when it has none.
+ * Creates the folder and draws an identity when they are missing.
  * @param stored receives term, vote, snapshot and log
- * @return STATUS_DAMAGED when a record inside the log is damaged
+ * @return STATUS_DAMAGED when a file or record is damaged, STATUS_REFUSED when
+ *         another process has the folder open
  */
 enum status_kind store_open(struct store *store, const char *path,
-                            enum store_tail tail, struct cons_stored *stored,
-                            struct status *st);
+                            enum store_tail_policy tail,
+                            struct cons_stored *stored, struct status *st);
 
-/** Makes an empty, open folder the founder's: its identity is its number. */
-enum status_kind store_found(struct store *store, uint32_t replica,
-                             struct status *st);
+/** Sets the identity of an empty, open folder to the replica number. */
+enum status_kind store_bootstrap(struct store *store, uint32_t replica,
+                                 struct status *st);
 
-/** Removes the state of a damaged folder: the next open is a new disk. */
+/** Deletes the state of a damaged folder; the next open draws an identity. */
 enum status_kind store_wipe(const char *path, struct status *st);
 
-/** Makes the folder of a founding replica: its identity is its number. */
+/** Creates the folder of a bootstrap voter: its identity is its number. */
 enum status_kind store_init(const char *path, uint32_t replica,
                             struct status *st);
 
-/** Closes the folder. */
 void store_close(struct store *store);
 
-/** Stores term and vote. */
 enum status_kind store_save_term(struct store *store, uint64_t term,
                                  uint32_t vote, struct status *st);
 
-/** Appends entries from an index on; earlier ones of that index are cut. */
+/** Appends `count` entries of the log of `cons`, from `index` on. */
 enum status_kind store_append(struct store *store, const struct cons *cons,
                               uint64_t index, uint32_t count,
                               struct status *st);
 
-/** Drops entries from an index on. */
-enum status_kind store_cut(struct store *store, uint64_t index,
-                           struct status *st);
-
-/** Stores the snapshot, then the log that follows it. */
-enum status_kind store_snapshot(struct store *store, const struct cons *cons,
+/** Removes the entries from `index` on. */
+enum status_kind store_truncate(struct store *store, uint64_t index,
                                 struct status *st);
 
+/** Stores the snapshot of `cons`, then rewrites the log after it. */
+enum status_kind store_save_snapshot(struct store *store,
+                                     const struct cons *cons,
+                                     struct status *st);
+
 /**
- * Reads a small file.
- * @param out receives its bytes, NULL when it is not there
- * @return STATUS_IO when it is there and cannot be read
+ * @param out receives the file's bytes, NULL when it does not exist
+ * @return STATUS_IO when it exists and cannot be read
  */
 enum status_kind store_read_file(int folder, const char *name,
                                  GByteArray **out, struct status *st);
 
-/** Writes a whole small file under a folder: temporary, sync, rename. */
+/** Replaces a file atomically: temporary file, fsync, rename. */
 enum status_kind store_write_file(int folder, const char *name,
                                   const void *bytes, size_t length,
                                   struct status *st);
--- a/tests/fleet-sim.c
+++ b/tests/fleet-sim.c
@@ -54,12 +54,12 @@
     switch (action->kind) {
     case CONS_SAVE_TERM:
         node->disk.term = cons->term;
-        node->disk.vote = cons->vote;
+        node->disk.vote = cons->voted_for;
         return;
     case CONS_SAVE_ENTRIES:
         sim_disk_append(&node->disk, cons, action->index, action->count);
         return;
-    case CONS_SAVE_CUT:
+    case CONS_SAVE_TRUNCATION:
         sim_disk_cut(&node->disk, action->index);
         return;
     case CONS_SAVE_SNAPSHOT:
@@ -70,7 +70,7 @@
         fleet_sim_send(sim, n, action->to, bytes);
         g_byte_array_unref(bytes);
         return;
-    case CONS_LOAD:
+    case CONS_RESTORE_SNAPSHOT:
         return;
     }
 }
--- a/tests/flow-evidence.c
+++ b/tests/flow-evidence.c
@@ -89,7 +89,8 @@
 follow(struct flow_evidence *entry, uint64_t now,
        const struct entry_core *core)
 {
-    const struct bundle_service *service = bundle_find(&core->bundle, SERVICE);
+    const struct bundle_service *service =
+        bundle_find_service(&core->bundle, SERVICE);
 
     if (service == NULL || core->bundle.version <= entry->version) {
         return;
--- a/tests/flow-load.c
+++ b/tests/flow-load.c
@@ -231,7 +231,8 @@
 static uint32_t
 modulo_upstream(const struct entry_core *entry, uint64_t hash)
 {
-    const struct bundle_service *s = bundle_find(&entry->bundle, "feed");
+    const struct bundle_service *s =
+        bundle_find_service(&entry->bundle, "feed");
     uint32_t serving[UPSTREAMS_MAX];
     size_t count = 0;
 
--- a/tests/sim-disk.c
+++ b/tests/sim-disk.c
@@ -21,7 +21,7 @@
                 uint32_t count)
 {
     sim_disk_cut(disk, index);
-    disk->commit = cons->commit;
+    disk->commit = cons->commit_index;
     for (uint32_t i = 0; i < count; i++) {
         struct cons_entry entry = *cons_entry_at(cons, index + i);
 
@@ -56,8 +56,9 @@
 void
 sim_disk_load(const struct sim_disk *disk, struct cons_stored *out)
 {
-    *out = (struct cons_stored){
-        .term = disk->term, .vote = disk->vote, .commit = disk->commit};
+    *out = (struct cons_stored){.term = disk->term,
+                                .voted_for = disk->vote,
+                                .commit_index = disk->commit};
     out->log = g_array_new(FALSE, FALSE, sizeof(struct cons_entry));
     for (guint i = 0; i < disk->log->len; i++) {
         struct cons_entry entry =
--- a/tests/sim.c
+++ b/tests/sim.c
@@ -208,7 +208,7 @@
     switch (action->kind) {
     case CONS_SAVE_TERM:
         node->disk.term = node->core.cons.term;
-        node->disk.vote = node->core.cons.vote;
+        node->disk.vote = node->core.cons.voted_for;
         return;
     case CONS_SAVE_ENTRIES:
         /* A shell that does not sync loses what it acknowledged. */
@@ -217,7 +217,7 @@
                             action->count);
         }
         return;
-    case CONS_SAVE_CUT:
+    case CONS_SAVE_TRUNCATION:
         sim_disk_cut(&node->disk, action->index);
         return;
     case CONS_SAVE_SNAPSHOT:
@@ -226,7 +226,7 @@
     case CONS_SEND:
         send_msg(sim, index, replica_node(sim, action->to), &action->msg);
         return;
-    case CONS_LOAD:
+    case CONS_RESTORE_SNAPSHOT:
         return;
     }
 }
--- a/tests/test-control.c
+++ b/tests/test-control.c
@@ -82,14 +82,14 @@
 check_replica(struct truth *t, int index)
 {
     const struct cons *cons = &t->sim->nodes[index].core.cons;
-    uint64_t from = cons->commit > 20 ? cons->commit - 20 : 1;
+    uint64_t from = cons->commit_index > 20 ? cons->commit_index - 20 : 1;
 
     if (cons->role == CONS_LEADER &&
         !same(t->leaders, cons->term, cons->self)) {
         note_broken(t, "two leaders in term %llu",
                     (unsigned long long)cons->term);
     }
-    for (uint64_t i = from; i <= cons->commit; i++) {
+    for (uint64_t i = from; i <= cons->commit_index; i++) {
         const struct cons_entry *entry = cons_entry_at(cons, i);
 
         if (entry != NULL && !same(t->committed, i, entry_hash(entry))) {
--- a/tests/test-fleet.c
+++ b/tests/test-fleet.c
@@ -138,7 +138,7 @@
 {
     const wire_config *config = cons_config(&sim->nodes[leader].replica.cons);
     u_int spare = (config->voters.voters_len - 1) / 2;
-    uint32_t lost[CONS_REPLICAS_MAX];
+    uint32_t lost[CONS_VOTERS_MAX];
 
     for (u_int i = 0; i < spare; i++) {
         lost[i] = config->voters.voters_val[i].replica;
--- a/tests/test-hall.c
+++ b/tests/test-hall.c
@@ -362,8 +362,9 @@
     struct replica voter;
     uint64_t now = 1;
 
-    g_assert_cmpint(store_open(&store, path, STORE_TAIL_TORN, &stored, &st),
-                    ==, STATUS_OK);
+    g_assert_cmpint(
+        store_open(&store, path, STORE_TAIL_TOLERANT, &stored, &st), ==,
+        STATUS_OK);
     replica_open(&voter, now, OLD_REPLICA, store.identity, true, 1, &stored,
                  &counters);
     now = replica_deadline(&voter);
--- a/tests/test-input.c
+++ b/tests/test-input.c
@@ -198,7 +198,7 @@
     {"move-an-upstream",
      BUNDLE(FLOW("s", "10.1.0.1", U1) "," FLOW("t", "10.1.0.2", U2)),
      BUNDLE(FLOW("s", "10.1.0.1", U2) "," FLOW("t", "10.1.0.2", U1)),
-     "rest first"},
+     "bundle without it"},
 };
 
 /* Checks a successor. */
@@ -505,18 +505,18 @@
     GByteArray *sealed;
     GByteArray *plain;
 
-    g_assert_true(seal_open(key));
-    sealed = seal_close_message("message", 7);
-    plain = seal_open_message(sealed->data, sealed->len);
+    g_assert_true(seal_set_key(key));
+    sealed = seal_encrypt("message", 7);
+    plain = seal_decrypt(sealed->data, sealed->len);
     g_assert_cmpuint(plain->len, ==, 7);
     g_byte_array_unref(plain);
     sealed->data[30] ^= 1;
-    g_assert_null(seal_open_message(sealed->data, sealed->len));
+    g_assert_null(seal_decrypt(sealed->data, sealed->len));
     sealed->data[30] ^= 1;
-    g_assert_null(seal_open_message(sealed->data, 20));
+    g_assert_null(seal_decrypt(sealed->data, 20));
     key[0] = 2;
-    g_assert_true(seal_open(key));
-    g_assert_null(seal_open_message(sealed->data, sealed->len));
+    g_assert_true(seal_set_key(key));
+    g_assert_null(seal_decrypt(sealed->data, sealed->len));
     g_byte_array_unref(sealed);
 }
 
--- a/tests/test-store.c
+++ b/tests/test-store.c
@@ -19,7 +19,7 @@
     char *path;
     struct store store;
     struct cons cons;
-    enum store_tail tail;
+    enum store_tail_policy tail;
 };
 
 /* Opens a folder as a replica would. */
@@ -114,7 +114,7 @@
     long junk;    /* bytes of junk added at the end */
     enum status_kind expect;
     unsigned kept; /* entries left of ten */
-    enum store_tail tail;
+    enum store_tail_policy tail;
 };
 
 static const struct harm harms[] = {
@@ -131,15 +131,17 @@
     {"flip-in-the-magic", 2, 0, 0, 0, STATUS_DAMAGED, 0, STORE_TAIL_STRICT},
     {"empty", 0, 1000000, 0, 0, STATUS_OK, 0, STORE_TAIL_STRICT},
     /* Where a loss of power may tear what was not synced. */
-    {"torn/untouched", 0, 0, 0, 0, STATUS_OK, 10, STORE_TAIL_TORN},
-    {"torn/cut-in-a-command", 0, 3, 0, 0, STATUS_OK, 9, STORE_TAIL_TORN},
+    {"torn/untouched", 0, 0, 0, 0, STATUS_OK, 10, STORE_TAIL_TOLERANT},
+    {"torn/cut-in-a-command", 0, 3, 0, 0, STATUS_OK, 9, STORE_TAIL_TOLERANT},
     {"torn/flip-in-the-last-record", -2, 0, 0, 0, STATUS_OK, 9,
-     STORE_TAIL_TORN},
-    {"torn/junk-at-the-end", 0, 0, 0, 200, STATUS_OK, 10, STORE_TAIL_TORN},
-    {"torn/zeros-at-the-end", 0, 0, 500, 0, STATUS_OK, 10, STORE_TAIL_TORN},
+     STORE_TAIL_TOLERANT},
+    {"torn/junk-at-the-end", 0, 0, 0, 200, STATUS_OK, 10, STORE_TAIL_TOLERANT},
+    {"torn/zeros-at-the-end", 0, 0, 500, 0, STATUS_OK, 10,
+     STORE_TAIL_TOLERANT},
     {"torn/flip-before-a-later-sync", 30, 0, 0, 0, STATUS_DAMAGED, 0,
-     STORE_TAIL_TORN},
-    {"torn/flip-in-the-magic", 2, 0, 0, 0, STATUS_DAMAGED, 0, STORE_TAIL_TORN},
+     STORE_TAIL_TOLERANT},
+    {"torn/flip-in-the-magic", 2, 0, 0, 0, STATUS_DAMAGED, 0,
+     STORE_TAIL_TOLERANT},
 };
 
 /* Harms the log file. */
@@ -207,7 +209,7 @@
 test_unreadable(gconstpointer data)
 {
     const char *name = data;
-    struct fixture f = {.tail = STORE_TAIL_TORN};
+    struct fixture f = {.tail = STORE_TAIL_TOLERANT};
     struct status st;
     char *path;
 
@@ -236,7 +238,7 @@
     close_folder(&f, true);
     g_assert_cmpint(open_folder(&f, &st), ==, STATUS_OK);
     g_assert_cmpuint(f.cons.term, ==, 7);
-    g_assert_cmpuint(f.cons.vote, ==, 3);
+    g_assert_cmpuint(f.cons.voted_for, ==, 3);
     close_folder(&f, true);
     name = g_build_filename(f.path, "vote", NULL);
     g_assert_true(g_file_set_contents(name, "short", 5, NULL));
@@ -273,7 +275,7 @@
     f.path = g_dir_make_tmp("ridgeridge-store-XXXXXX", NULL);
     g_assert_cmpint(open_folder(&f, &st), ==, STATUS_OK);
     g_assert_false(f.store.founder);
-    g_assert_cmpuint(f.store.identity, >, CONS_REPLICAS_MAX);
+    g_assert_cmpuint(f.store.identity, >, CONS_VOTERS_MAX);
     g_assert_cmpint(store_init(f.path, 1, &st), ==, STATUS_REFUSED);
     close_folder(&f, true);
     remove_folder(&f);
@@ -294,9 +296,10 @@
     log = g_build_filename(f.path, "log", NULL);
     g_assert_true(g_file_get_contents(log, &old, &length, NULL));
     g_assert_cmpint(open_folder(&f, &st), ==, STATUS_OK);
-    f.cons.commit = 40;
+    f.cons.commit_index = 40;
     cons_compact(&f.cons, 40, state);
-    g_assert_cmpint(store_snapshot(&f.store, &f.cons, &st), ==, STATUS_OK);
+    g_assert_cmpint(store_save_snapshot(&f.store, &f.cons, &st), ==,
+                    STATUS_OK);
     append(&f, 3);
     close_folder(&f, true);
     g_assert_cmpint(open_folder(&f, &st), ==, STATUS_OK);
@@ -333,7 +336,7 @@
     g_test_message("%d entries read in %.1f ms", ENTRIES,
                    (double)(g_get_monotonic_time() - began) / 1000.0);
     g_assert_cmpuint(cons_last_index(&f.cons), ==, ENTRIES);
-    g_assert_cmpint(store_cut(&f.store, 400, &st), ==, STATUS_OK);
+    g_assert_cmpint(store_truncate(&f.store, 400, &st), ==, STATUS_OK);
     close_folder(&f, true);
     g_assert_cmpint(open_folder(&f, &st), ==, STATUS_OK);
     g_assert_cmpuint(cons_last_index(&f.cons), ==, 399);
@@ -353,8 +356,8 @@
     g_assert_cmpint(open_folder(&f, &st), ==, STATUS_OK);
     full = open("/dev/full", O_RDWR);
     if (full >= 0) {
-        (void)close(f.store.log);
-        f.store.log = full;
+        (void)close(f.store.log_fd);
+        f.store.log_fd = full;
         g_assert_cmpint(store_append(&f.store, &f.cons, 1, 1, &st), ==,
                         STATUS_IO);
         g_assert_nonnull(strstr(st.message, "check space"));
