--- a/burn.c
+++ b/burn.c
@@ -1,4 +1,4 @@
-/* Histories of good and bad events, and burn rates over windows. */
+/* Event histories by service, and burn rates over windows. */
 #include "burn.h"
 
 #include <string.h>
@@ -9,16 +9,14 @@
 } windows[BURN_WINDOWS] = {
     {"5m", 300000}, {"30m", 1800000}, {"1h", 3600000}, {"6h", 21600000}};
 
-/* Makes a table. */
 GHashTable *
 burn_new(void)
 {
     return g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
 }
 
-/* Finds a service's history. */
 static struct burn *
-find(GHashTable *table, const char *service)
+find_or_add(GHashTable *table, const char *service)
 {
     struct burn *burn = g_hash_table_lookup(table, service);
 
@@ -30,18 +28,17 @@
     return burn;
 }
 
-/* Counts an event. */
 void
 burn_count(GHashTable *table, const char *service, bool good)
 {
-    struct burn *burn = find(table, service);
+    struct burn *burn = find_or_add(table, service);
     struct burn_slot *slot = &burn->slots[burn->slot % BURN_SLOTS];
 
-    slot->all++;
+    slot->total++;
     slot->good += good;
 }
 
-/* Moves a history on to the slot of a time. */
+/* Advances a history to the slot of `now`, clearing the slots between. */
 static void
 advance(struct burn *burn, uint64_t now)
 {
@@ -57,73 +54,68 @@
     }
 }
 
-/* Counts the flows that the counters show since the last tick. */
+/* Counts the flows since the last call, from the counters. */
 static void
 count_flows(GHashTable *table, const struct bundle_service *service,
             const struct counters *counters)
 {
-    static uint64_t seen_new;
-    static uint64_t seen_bad;
+    static uint64_t counted_new;
+    static uint64_t counted_bad;
     uint64_t new = counters->value[COUNTER_FLOWS_NEW];
     uint64_t bad = counters->value[COUNTER_PACKETS_NO_UPSTREAM] +
-                   counters->value[COUNTER_PACKETS_TOO_FAR];
-    struct burn *burn = find(table, service->name);
+                   counters->value[COUNTER_PACKETS_HOP_LIMIT];
+    struct burn *burn = find_or_add(table, service->name);
     struct burn_slot *slot = &burn->slots[burn->slot % BURN_SLOTS];
 
-    slot->all += (uint32_t)(new - seen_new + bad - seen_bad);
-    slot->good += (uint32_t)(new - seen_new);
-    seen_new = new;
-    seen_bad = bad;
+    slot->total += (uint32_t)(new - counted_new + bad - counted_bad);
+    slot->good += (uint32_t)(new - counted_new);
+    counted_new = new;
+    counted_bad = bad;
 }
 
-/* Takes objectives, moves on, and counts flows. The counters do not tell
- * flow services apart; their events go to the first one. */
 void
 burn_tick(GHashTable *table, const struct bundle *bundle,
           const struct counters *counters, uint64_t now)
 {
-    bool flows = false;
+    bool flows_counted = false;
 
     for (size_t i = 0; i < bundle->service_count; i++) {
         const struct bundle_service *s = &bundle->services[i];
-        struct burn *burn = find(table, s->name);
+        struct burn *burn = find_or_add(table, s->name);
 
         burn->budget = 10000 - s->objective.good_per_ten_thousand;
         advance(burn, now);
-        if (s->kind == BUNDLE_FLOW && !flows) {
+        if (s->kind == BUNDLE_FLOW && !flows_counted) {
             count_flows(table, s, counters);
-            flows = true;
+            flows_counted = true;
         }
     }
 }
 
-/* Sums a window. */
 void
 burn_sum(const struct burn *burn, uint64_t slots, uint64_t *good,
-         uint64_t *all)
+         uint64_t *total)
 {
     *good = 0;
-    *all = 0;
+    *total = 0;
     for (uint64_t i = 0; i < MIN(slots, BURN_SLOTS) && i < burn->slot; i++) {
         const struct burn_slot *slot =
             &burn->slots[(burn->slot - i) % BURN_SLOTS];
 
         *good += slot->good;
-        *all += slot->all;
+        *total += slot->total;
     }
 }
 
-/* Computes a burn rate. */
 double
-burn_rate(uint64_t good, uint64_t all, uint64_t budget)
+burn_rate(uint64_t good, uint64_t total, uint64_t budget)
 {
-    if (all == 0 || budget == 0) {
+    if (total == 0 || budget == 0) {
         return 0.0;
     }
-    return (double)(all - good) / (double)all * 10000.0 / (double)budget;
+    return (double)(total - good) / (double)total * 10000.0 / (double)budget;
 }
 
-/* Gives a window. */
 uint64_t
 burn_window(int index, const char **name)
 {
@@ -131,9 +123,8 @@
     return windows[index].ms;
 }
 
-/* All windows of one service. */
 static json_object *
-one_json(const struct burn *burn)
+service_json(const struct burn *burn)
 {
     json_object *out = json_object_new_object();
     json_object *list = json_object_new_array();
@@ -144,22 +135,21 @@
     for (int i = 0; i < BURN_WINDOWS; i++) {
         json_object *window = json_object_new_object();
         uint64_t good;
-        uint64_t all;
+        uint64_t total;
 
-        burn_sum(burn, windows[i].ms / BURN_SLOT_MS, &good, &all);
+        burn_sum(burn, windows[i].ms / BURN_SLOT_MS, &good, &total);
         json_object_object_add(window, "window",
                                json_object_new_string(windows[i].name));
         json_object_object_add(window, "good",
                                json_object_new_int64((int64_t)good));
         json_object_object_add(window, "all",
-                               json_object_new_int64((int64_t)all));
+                               json_object_new_int64((int64_t)total));
         json_object_array_add(list, window);
     }
     json_object_object_add(out, "windows", list);
     return out;
 }
 
-/* All services. */
 json_object *
 burn_json(GHashTable *table)
 {
@@ -168,8 +158,8 @@
         g_list_sort(g_hash_table_get_keys(table), (GCompareFunc)strcmp);
 
     for (GList *l = names; l != NULL; l = l->next) {
-        json_object_array_add(out,
-                              one_json(g_hash_table_lookup(table, l->data)));
+        json_object_array_add(
+            out, service_json(g_hash_table_lookup(table, l->data)));
     }
     g_list_free(names);
     return out;
--- a/cmd-bundle.c
+++ b/cmd-bundle.c
@@ -3,7 +3,7 @@
 
 #include "cmd.h"
 
-/* Fetches the text, confirmed by a quorum. */
+/* The leader confirms the read with a quorum. */
 static enum status_kind
 run(const struct cmd_options *options, const char **args, struct status *st)
 {
@@ -28,8 +28,8 @@
 const struct cmd cmd_bundle = {
     .name = "bundle",
     .args = "",
-    .takes = CMD_SETTINGS | CMD_CREDENTIALS,
-    .help = "Print the text of the bundle rolled out last.",
+    .option_flags = CMD_SETTINGS | CMD_CREDENTIALS,
+    .help = "Print the bundle in force.",
     .libraries = LIBRARY_CURL,
     .run = run,
 };
--- a/cmd-check-bundle.c
+++ b/cmd-check-bundle.c
@@ -1,10 +1,10 @@
-/* ridgeridge check-bundle: reads a bundle, alone or after another one. */
+/* ridgeridge check-bundle: validates a bundle file, optionally as the
+ * successor of another one. */
 #include <stdio.h>
 
 #include "bundle.h"
 #include "cmd.h"
 
-/* Checks the file, and against its base when one is given. */
 static enum status_kind
 run(const struct cmd_options *options, const char **args, struct status *st)
 {
@@ -34,6 +34,6 @@
     .args = "FILE [BASE]",
     .min_args = 1,
     .max_args = 2,
-    .help = "Check a bundle, and whether it may follow BASE.",
+    .help = "Check a bundle, and whether it is a valid successor of BASE.",
     .run = run,
 };
--- a/cmd-check-settings.c
+++ b/cmd-check-settings.c
@@ -1,9 +1,9 @@
-/* ridgeridge check-settings: reads a settings file as a VM would. */
+/* ridgeridge check-settings: validates a settings file of an entry or control
+ * VM. */
 #include <stdio.h>
 
 #include "cmd.h"
 
-/* Checks the file. */
 static enum status_kind
 run(const struct cmd_options *options, const char **args, struct status *st)
 {
@@ -25,6 +25,6 @@
     .args = "FILE",
     .min_args = 1,
     .max_args = 1,
-    .help = "Check a settings file; start nothing.",
+    .help = "Check a settings file of an entry or control VM.",
     .run = run,
 };
--- a/cmd-control.c
+++ b/cmd-control.c
@@ -2,7 +2,6 @@
 #include "cmd.h"
 #include "control.h"
 
-/* Loads the settings and runs until a signal. */
 static enum status_kind
 run(const struct cmd_options *options, const char **args, struct status *st)
 {
@@ -18,7 +17,7 @@
 const struct cmd cmd_control = {
     .name = "control",
     .args = "",
-    .takes = CMD_SETTINGS,
+    .option_flags = CMD_SETTINGS,
     .help = "Run a control VM.",
     .libraries = LIBRARY_ULFIUS,
     .run = run,
--- a/cmd-entry.c
+++ b/cmd-entry.c
@@ -2,7 +2,6 @@
 #include "cmd.h"
 #include "entry.h"
 
-/* Loads the settings and runs until a planned stop is done. */
 static enum status_kind
 run(const struct cmd_options *options, const char **args, struct status *st)
 {
@@ -18,7 +17,7 @@
 const struct cmd cmd_entry = {
     .name = "entry",
     .args = "",
-    .takes = CMD_SETTINGS,
+    .option_flags = CMD_SETTINGS,
     .help = "Run an entry VM.",
     .libraries = LIBRARY_ULFIUS | LIBRARY_CURL | LIBRARY_MICROHTTPD,
     .run = run,
--- a/cmd-explain.c
+++ b/cmd-explain.c
@@ -1,4 +1,4 @@
-/* ridgeridge explain: why things went as they did. */
+/* ridgeridge explain: recorded decisions about flows and requests. */
 #include <glib.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -10,58 +10,60 @@
 #include "explain.h"
 #include "hash.h"
 
-/* What one explanation needs. */
-struct question {
+/* Context of one explain command. */
+struct explain_context {
     const struct cmd_options *options;
     struct settings settings;
     struct client_credentials credentials;
     struct bundle bundle;
-    GString *silent; /* entries that did not answer */
+    GString *unanswered; /* names of entries without a response */
     struct status *st;
-    int64_t kept_since;  /* ms since 1970: older decisions may be gone */
-    unsigned verified;   /* decisions recomputed and equal */
-    unsigned mismatches; /* decisions that differ */
+    int64_t kept_since;  /* ms since 1970; older decisions may be missing */
+    unsigned verified;   /* decisions equal to their recomputation */
+    unsigned mismatches; /* decisions that differ, and wrong counters */
 };
 
-/* Prints one decision. */
 static void
-print_decision(const char *entry, json_object *d)
+print_decision(const char *entry, json_object *decision)
 {
-    (void)printf("  %-12s %-18s %s", entry, client_text(d, "rule"),
-                 client_text(d, "because"));
-    if (strcmp(client_text(d, "upstream"), "0.0.0.0:0") != 0) {
-        (void)printf("; upstream %s", client_text(d, "upstream"));
+    (void)printf("  %-12s %-18s %s", entry, client_text(decision, "rule"),
+                 client_text(decision, "because"));
+    if (strcmp(client_text(decision, "upstream"), "0.0.0.0:0") != 0) {
+        (void)printf("; upstream %s", client_text(decision, "upstream"));
     }
     (void)printf("; version %lld step %lld epoch %lld table %.8s\n",
-                 (long long)client_number(d, "version"),
-                 (long long)client_number(d, "step"),
-                 (long long)client_number(d, "epoch"),
-                 client_text(d, "table_digest"));
+                 (long long)client_number(decision, "version"),
+                 (long long)client_number(decision, "step"),
+                 (long long)client_number(decision, "epoch"),
+                 client_text(decision, "table_digest"));
 }
 
-/* Recomputes one decision when it was made under the bundle in force. */
+/* Recomputes a decision, if it was made under the bundle in force. */
 static void
-verify_decision(struct question *q, const char *service, uint64_t hash,
-                const char *entry, json_object *d)
+verify_decision(struct explain_context *context, const char *service,
+                uint64_t hash, const char *entry, json_object *decision)
 {
     char why[256];
 
-    if (!q->options->verify ||
-        (uint64_t)client_number(d, "version") != q->bundle.version) {
+    if (!context->options->verify ||
+        (uint64_t)client_number(decision, "version") !=
+            context->bundle.version) {
         return;
     }
-    if (explain_verify_flow(&q->bundle, service, hash, d, why, sizeof(why))) {
-        q->verified++;
+    if (explain_verify_flow(&context->bundle, service, hash, decision, why,
+                            sizeof(why))) {
+        context->verified++;
         return;
     }
-    q->mismatches++;
+    context->mismatches++;
     (void)printf("  MISMATCH at %s: %s\n", entry, why);
 }
 
-/* Compares the decisions of an entry with its counters: an entry cannot have
- * recorded more placements at an upstream than it counted. */
+/* Checks that the entries have not recorded more assignments than they
+ * counted. */
 static void
-verify_counters(struct question *q, json_object *answers, uint64_t placed)
+verify_counters(struct explain_context *context, json_object *answers,
+                uint64_t assigned)
 {
     uint64_t counted = 0;
 
@@ -83,29 +85,30 @@
             }
         }
     }
-    if (placed > counted) {
-        q->mismatches++;
-        (void)printf("  MISMATCH: %llu placements recorded, the entries "
-                     "counted %llu\n",
-                     (unsigned long long)placed, (unsigned long long)counted);
+    if (assigned > counted) {
+        context->mismatches++;
+        (void)printf("  MISMATCH: %llu assignments recorded, but the "
+                     "entries counted %llu\n",
+                     (unsigned long long)assigned,
+                     (unsigned long long)counted);
     }
 }
 
-/* Notes since when every entry still has its decisions. */
 static void
-note_oldest(struct question *q, int64_t kept_since)
+update_kept_since(struct explain_context *context, int64_t kept_since)
 {
-    if (kept_since > q->kept_since) {
-        q->kept_since = kept_since;
+    if (kept_since > context->kept_since) {
+        context->kept_since = kept_since;
     }
 }
 
-/* Prints the decisions that the entries gave. */
+/* Prints and verifies the decisions of all entries; returns the number of
+ * assignments to an upstream. */
 static uint64_t
-print_answers(struct question *q, json_object *answers, const char *service,
-              uint64_t subject)
+print_decisions(struct explain_context *context, json_object *answers,
+                const char *service, uint64_t subject)
 {
-    uint64_t placed = 0;
+    uint64_t assigned = 0;
 
     for (size_t i = 0; i < json_object_array_length(answers); i++) {
         json_object *one = json_object_array_get_idx(answers, i);
@@ -113,115 +116,120 @@
         json_object *list = NULL;
 
         (void)json_object_object_get_ex(one, "decisions", &list);
-        note_oldest(q, client_number(one, "kept_since"));
+        update_kept_since(context, client_number(one, "kept_since"));
         for (size_t j = json_object_array_length(list); j > 0; j--) {
-            json_object *d = json_object_array_get_idx(list, j - 1);
+            json_object *decision = json_object_array_get_idx(list, j - 1);
 
-            if (!q->options->json) {
-                print_decision(entry, d);
+            if (!context->options->json) {
+                print_decision(entry, decision);
             }
             if (service != NULL) {
-                verify_decision(q, service, subject, entry, d);
+                verify_decision(context, service, subject, entry, decision);
             }
-            placed += strcmp(client_text(d, "upstream"), "0.0.0.0:0") != 0;
+            assigned +=
+                strcmp(client_text(decision, "upstream"), "0.0.0.0:0") != 0;
         }
     }
-    if (q->options->json) {
+    if (context->options->json) {
         (void)printf("%s\n", json_object_to_json_string_ext(
                                  answers, JSON_C_TO_STRING_PRETTY));
     }
-    return placed;
+    return assigned;
 }
 
-/* Prints what could not be learned, and what verification found. */
+/* Prints missing entries and the result of verification. */
 static void
-print_end(struct question *q)
+print_summary(struct explain_context *context)
 {
-    if (q->silent->len > 0) {
-        (void)printf("not learned from: %s\n", q->silent->str);
+    if (context->unanswered->len > 0) {
+        (void)printf("no answer from: %s\n", context->unanswered->str);
     }
-    if (q->kept_since > 0 && !q->options->json) {
-        (void)printf(
-            "decisions before %lld (ms since 1970) are gone somewhere\n",
-            (long long)q->kept_since);
+    if (context->kept_since > 0 && !context->options->json) {
+        (void)printf("decisions before %lld (ms since 1970) may be missing\n",
+                     (long long)context->kept_since);
     }
-    if (!q->options->verify) {
+    if (!context->options->verify) {
         return;
     }
-    (void)printf("verified: %u decisions recomputed and equal, %u differ\n",
-                 q->verified, q->mismatches);
-    if (q->mismatches > 0) {
-        (void)status_set(q->st, STATUS_REFUSED,
-                         "%u records do not match; see both sides above",
-                         q->mismatches);
+    (void)printf(
+        "verified: %u decisions match their recomputation, %u differ\n",
+        context->verified, context->mismatches);
+    if (context->mismatches > 0) {
+        (void)status_set(context->st, STATUS_REFUSED,
+                         "%u mismatches; see recorded and recomputed values "
+                         "above",
+                         context->mismatches);
     }
 }
 
-/* Asks for the decisions about a subject and prints them. */
+/* Queries and prints the decisions about a subject, a flow's or key's hash. */
 static void
-explain_subject(struct question *q, uint64_t subject, const char *service)
+explain_subject(struct explain_context *context, uint64_t subject,
+                const char *service)
 {
     char path[64];
     json_object *answers;
-    uint64_t placed;
+    uint64_t assigned;
 
     (void)snprintf(path, sizeof(path), "/.ridgeridge/explain?subject=%016llx",
                    (unsigned long long)subject);
-    answers = explain_ask_entries(&q->settings, &q->credentials, path,
-                                  q->silent, q->st);
-    placed = print_answers(q, answers, service, subject);
-    if (placed == 0 && !q->options->json) {
-        (void)printf("  no entry has a decision of it any more, or it was "
-                     "never seen\n");
+    answers = explain_query_entries(&context->settings, &context->credentials,
+                                    path, context->unanswered, context->st);
+    assigned = print_decisions(context, answers, service, subject);
+    if (assigned == 0 && !context->options->json) {
+        (void)printf("  no entry has a recorded decision about it\n");
     }
     json_object_put(answers);
-    if (q->options->verify && service != NULL) {
-        answers = explain_ask_entries(&q->settings, &q->credentials,
-                                      "/.ridgeridge/status", q->silent, q->st);
-        verify_counters(q, answers, placed);
+    if (context->options->verify && service != NULL) {
+        answers = explain_query_entries(
+            &context->settings, &context->credentials, "/.ridgeridge/status",
+            context->unanswered, context->st);
+        verify_counters(context, answers, assigned);
         json_object_put(answers);
     }
 }
 
 /* explain flow SERVICE ADDRESS:PORT */
 static void
-explain_flow(struct question *q, const char **args)
+explain_flow(struct explain_context *context, const char **args)
 {
     struct explain_flow flow = {0};
 
-    flow.service = args[0] ? bundle_find_service(&q->bundle, args[0]) : NULL;
+    flow.service =
+        args[0] ? bundle_find_service(&context->bundle, args[0]) : NULL;
     if (flow.service == NULL || args[1] == NULL ||
         !address_parse(args[1], &flow.source, &flow.source_port)) {
-        (void)status_set(q->st, STATUS_BAD_INPUT,
-                         "explain flow takes a flow service of the bundle in "
+        (void)status_set(context->st, STATUS_BAD_INPUT,
+                         "explain flow needs a flow service of the bundle in "
                          "force and the caller's ADDRESS:PORT");
         return;
     }
-    (void)printf("flow of %s from %s, under version %llu in force:\n", args[0],
-                 args[1], (unsigned long long)q->bundle.version);
-    explain_subject(q, explain_hash(&flow), args[0]);
-    print_end(q);
+    (void)printf("flow to %s from %s, bundle version %llu in force:\n",
+                 args[0], args[1],
+                 (unsigned long long)context->bundle.version);
+    explain_subject(context, explain_flow_hash(&flow), args[0]);
+    print_summary(context);
 }
 
 /* explain request HOST KEY */
 static void
-explain_request(struct question *q, const char **args)
+explain_request(struct explain_context *context, const char **args)
 {
     char key[WIRE_KEY];
 
     if (args[0] == NULL || args[1] == NULL) {
-        (void)status_set(q->st, STATUS_BAD_INPUT,
-                         "explain request takes the Host and the "
+        (void)status_set(context->st, STATUS_BAD_INPUT,
+                         "explain request needs the Host and the "
                          "Idempotency-Key");
         return;
     }
     auth_hash_request_key(args[0], args[1], key);
     (void)printf("request to %s with key %s:\n", args[0], args[1]);
-    explain_subject(q, hash_bytes(HASH_KEY, key, WIRE_KEY), NULL);
-    print_end(q);
+    explain_subject(context, hash_bytes(HASH_KEY, key, WIRE_KEY), NULL);
+    print_summary(context);
 }
 
-/* Says why a gate's upstream gets no new work, or how much. */
+/* Prints an upstream's slots and ejection at a gate. */
 static void
 print_gate(const char *entry, json_object *gate, const char *endpoint)
 {
@@ -233,18 +241,18 @@
             continue;
         }
         (void)json_object_object_get_ex(u, "ejected", &ejected);
-        (void)printf("  gate %s: busy %lld of %lld slots%s, given work %lld "
+        (void)printf("  gate %s: %lld of %lld slots busy%s, chosen %lld "
                      "times\n",
                      entry, (long long)client_number(u, "busy"),
                      (long long)client_number(u, "limit"),
                      json_object_get_boolean(ejected)
-                         ? ", ejected after failures or a shed"
+                         ? ", ejected after failures or load shedding"
                          : "",
                      (long long)client_number(u, "chosen"));
     }
 }
 
-/* Prints what one entry knows of an upstream. */
+/* Prints an upstream's state at one entry. */
 static void
 print_upstream(json_object *answer, const char *name)
 {
@@ -280,60 +288,63 @@
 
 /* explain upstream NAME */
 static void
-explain_upstream(struct question *q, const char **args)
+explain_upstream(struct explain_context *context, const char **args)
 {
     json_object *answers;
 
     if (args[0] == NULL) {
-        (void)status_set(q->st, STATUS_BAD_INPUT,
-                         "explain upstream takes an upstream's name");
+        (void)status_set(context->st, STATUS_BAD_INPUT,
+                         "explain upstream needs an upstream's name");
         return;
     }
-    for (size_t i = 0; i < q->bundle.service_count; i++) {
-        const struct bundle_service *s = &q->bundle.services[i];
+    for (size_t i = 0; i < context->bundle.service_count; i++) {
+        const struct bundle_service *s = &context->bundle.services[i];
 
         for (size_t j = 0; j < s->upstream_count; j++) {
             const struct bundle_upstream *u = &s->upstreams[j];
 
             if (strcmp(u->name, args[0]) == 0) {
-                (void)printf(
-                    "bundle version %llu: %s of %s is %s, weight "
-                    "%llu: %s\n",
-                    (unsigned long long)q->bundle.version, u->name, s->name,
-                    u->state == BUNDLE_LEAVING ? "leaving" : "serving",
-                    (unsigned long long)u->weight,
-                    u->state == BUNDLE_LEAVING || u->weight == 0
-                        ? "it gets no new work"
-                        : "it gets its share of new work");
+                (void)printf("bundle version %llu: %s of %s is %s, weight "
+                             "%llu: %s\n",
+                             (unsigned long long)context->bundle.version,
+                             u->name, s->name,
+                             u->state == BUNDLE_LEAVING ? "leaving"
+                                                        : "serving",
+                             (unsigned long long)u->weight,
+                             u->state == BUNDLE_LEAVING || u->weight == 0
+                                 ? "no new flows or requests"
+                                 : "new flows or requests by weight");
             }
         }
     }
-    answers = explain_ask_entries(&q->settings, &q->credentials,
-                                  "/.ridgeridge/status", q->silent, q->st);
+    answers = explain_query_entries(&context->settings, &context->credentials,
+                                    "/.ridgeridge/status", context->unanswered,
+                                    context->st);
     for (size_t i = 0; i < json_object_array_length(answers); i++) {
         print_upstream(json_object_array_get_idx(answers, i), args[0]);
     }
     json_object_put(answers);
-    print_end(q);
+    print_summary(context);
 }
 
-/* explain bundle: the entries' own word, next to control's. */
+/* explain bundle: the version at each entry against control's. */
 static void
-explain_bundle(struct question *q, const char **args)
+explain_bundle(struct explain_context *context, const char **args)
 {
     json_object *answers;
     size_t agree = 0;
     size_t count;
 
     (void)args;
-    answers = explain_ask_entries(&q->settings, &q->credentials,
-                                  "/.ridgeridge/status", q->silent, q->st);
+    answers = explain_query_entries(&context->settings, &context->credentials,
+                                    "/.ridgeridge/status", context->unanswered,
+                                    context->st);
     count = json_object_array_length(answers);
     for (size_t i = 0; i < count; i++) {
         json_object *one = json_object_array_get_idx(answers, i);
-        bool same =
-            (uint64_t)client_number(one, "version") == q->bundle.version &&
-            client_number(one, "step") >= FLOW_STEP_MOVE;
+        bool same = (uint64_t)client_number(one, "version") ==
+                        context->bundle.version &&
+                    client_number(one, "step") >= FLOW_STEP_MOVE;
 
         agree += same;
         (void)printf("  %-12s version %lld step %lld, lease %lld ms: %s\n",
@@ -341,16 +352,17 @@
                      (long long)client_number(one, "version"),
                      (long long)client_number(one, "step"),
                      (long long)client_number(one, "lease_left_ms"),
-                     same ? "in force there" : "NOT in force there");
+                     same ? "in force" : "NOT in force");
     }
-    (void)printf("version %llu is in force on %zu of %zu entries by their "
-                 "own word\n",
-                 (unsigned long long)q->bundle.version, agree, count);
-    if (agree != count || q->silent->len > 0) {
-        (void)status_set(q->st, STATUS_UNCONFIRMED,
-                         "not every entry says so; see the list");
+    (void)printf("version %llu is in force at %zu of the %zu entries that "
+                 "answered\n",
+                 (unsigned long long)context->bundle.version, agree, count);
+    if (agree != count || context->unanswered->len > 0) {
+        (void)status_set(context->st, STATUS_UNCONFIRMED,
+                         "the bundle is not in force at every entry, or an "
+                         "entry did not answer; see above");
     }
-    print_end(q);
+    print_summary(context);
 }
 
 /* explain refusal RULE */
@@ -361,50 +373,50 @@
 
     if (rule == RULE_COUNT) {
         return status_set(st, STATUS_BAD_INPUT,
-                          "explain refusal takes the type of a problem "
+                          "explain refusal needs the type of a problem "
                           "document; see `ridgeridge reference rules`");
     }
     (void)printf("%s: %s\n", ring_rule_name(rule), ring_rule_help(rule));
     return STATUS_OK;
 }
 
-/* Loads the bundle in force and explains what is asked. */
 static enum status_kind
 run(const struct cmd_options *options, const char **args, struct status *st)
 {
     static const struct {
         const char *name;
-        void (*explain)(struct question *q, const char **args);
-    } kinds[] = {
+        void (*explain)(struct explain_context *context, const char **args);
+    } subjects[] = {
         {"flow", explain_flow},
         {"request", explain_request},
         {"upstream", explain_upstream},
         {"bundle", explain_bundle},
     };
-    struct question q = {.options = options, .st = st};
+    struct explain_context context = {.options = options, .st = st};
 
     if (strcmp(args[0], "refusal") == 0) {
         return explain_refusal(args + 1, st);
     }
-    for (size_t i = 0; i < G_N_ELEMENTS(kinds); i++) {
-        if (strcmp(args[0], kinds[i].name) != 0) {
+    for (size_t i = 0; i < G_N_ELEMENTS(subjects); i++) {
+        if (strcmp(args[0], subjects[i].name) != 0) {
             continue;
         }
-        if (cmd_load(options, &q.settings, &q.credentials, st) != STATUS_OK) {
+        if (cmd_load(options, &context.settings, &context.credentials, st) !=
+            STATUS_OK) {
             return st->kind;
         }
-        if (explain_load_bundle(&q.settings, &q.credentials, &q.bundle, st) ==
-            STATUS_OK) {
-            q.silent = g_string_new("");
-            kinds[i].explain(&q, args + 1);
-            g_string_free(q.silent, TRUE);
-            bundle_free(&q.bundle);
+        if (explain_fetch_bundle(&context.settings, &context.credentials,
+                                 &context.bundle, st) == STATUS_OK) {
+            context.unanswered = g_string_new("");
+            subjects[i].explain(&context, args + 1);
+            g_string_free(context.unanswered, TRUE);
+            bundle_free(&context.bundle);
         }
-        settings_free(&q.settings);
+        settings_free(&context.settings);
         return st->kind;
     }
     return status_set(st, STATUS_BAD_INPUT,
-                      "\"%s\" cannot be explained; name flow, request, "
+                      "unknown subject \"%s\"; name flow, request, "
                       "upstream, bundle or refusal",
                       args[0]);
 }
@@ -414,7 +426,7 @@
     .args = "WHAT [ARGUMENT ...]",
     .min_args = 1,
     .max_args = 3,
-    .takes = CMD_SETTINGS | CMD_CREDENTIALS | CMD_JSON | CMD_VERIFY,
+    .option_flags = CMD_SETTINGS | CMD_CREDENTIALS | CMD_JSON | CMD_VERIFY,
     .help = "Explain flow SERVICE ADDRESS:PORT, request HOST KEY, upstream "
             "NAME, bundle, or refusal TYPE.",
     .libraries = LIBRARY_CURL,
--- a/cmd-init-control.c
+++ b/cmd-init-control.c
@@ -1,8 +1,7 @@
-/* ridgeridge init-control: makes the data folder of a founding replica. */
+/* ridgeridge init-control: creates the data directory of an initial voter. */
 #include "cmd.h"
 #include "store.h"
 
-/* Makes the folder. */
 static enum status_kind
 run(const struct cmd_options *options, const char **args, struct status *st)
 {
@@ -10,7 +9,8 @@
 
     (void)args;
     if (options->settings == NULL) {
-        return status_set(st, STATUS_BAD_INPUT, "--settings is needed");
+        return status_set(st, STATUS_BAD_INPUT,
+                          "--settings is missing; name the settings file");
     }
     if (settings_load(options->settings, &settings, st) != STATUS_OK) {
         return st->kind;
@@ -18,8 +18,8 @@
     if (settings.role != ROLE_CONTROL ||
         !settings_find_control(&settings, settings.id)->founder) {
         (void)status_set(st, STATUS_BAD_INPUT,
-                         "%s: not the settings of a founder; start "
-                         "`ridgeridge control` without init, it then joins",
+                         "%s: not the settings of a founder; run `ridgeridge "
+                         "control` without init-control to join",
                          options->settings);
     }
     else {
@@ -32,8 +32,8 @@
 const struct cmd cmd_init_control = {
     .name = "init-control",
     .args = "",
-    .takes = CMD_SETTINGS,
-    .help = "Make the data folder of a control VM at the first install only; "
-            "never after a disk was lost.",
+    .option_flags = CMD_SETTINGS,
+    .help = "Create the data directory of a control VM in a new deployment; "
+            "never to replace a lost disk.",
     .run = run,
 };
--- a/cmd-keygen.c
+++ b/cmd-keygen.c
@@ -1,4 +1,4 @@
-/* ridgeridge keygen: makes an operator's credentials. */
+/* ridgeridge keygen: generates an operator's credentials. */
 #include <errno.h>
 #include <fcntl.h>
 #include <glib.h>
@@ -9,16 +9,16 @@
 
 #include "cmd.h"
 
-/* Writes the secret half, readable by its owner only. */
+/* Writes the credentials file with mode 0600. */
 static enum status_kind
-write_secret(const char *path, const char *name, const char *token,
-             const char *secret, struct status *st)
+write_credentials(const char *path, const char *name, const char *token,
+                  const char *secret, struct status *st)
 {
     int fd = open(path, O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, 0600);
 
     if (fd < 0) {
         return status_set(st, STATUS_IO,
-                          "%s: %s; name a file that does not exist", path,
+                          "%s: %s; name a file that does not exist yet", path,
                           g_strerror(errno));
     }
     (void)dprintf(fd,
@@ -30,7 +30,8 @@
     return STATUS_OK;
 }
 
-/* Makes the keys, writes the secret ones, prints the public ones. */
+/* Generates a key pair and a token; writes the secrets, and prints the public
+ * key and the token's digest. */
 static enum status_kind
 run(const struct cmd_options *options, const char **args, struct status *st)
 {
@@ -46,15 +47,15 @@
     if (strpbrk(args[0], "\"\\") != NULL ||
         strlen(args[0]) > SETTINGS_NAME_MAX) {
         return status_set(st, STATUS_BAD_INPUT,
-                          "the name is too long or has quotes; choose "
-                          "another");
+                          "NAME is too long or has a quote or backslash; "
+                          "choose another");
     }
     (void)crypto_sign_keypair(public_key, secret_key);
     randombytes_buf(random, sizeof(random));
     (void)sodium_bin2hex(token, sizeof(token), random, sizeof(random));
     (void)sodium_bin2hex(secret, sizeof(secret), secret_key,
                          sizeof(secret_key));
-    if (write_secret(args[1], args[0], token, secret, st) != STATUS_OK) {
+    if (write_credentials(args[1], args[0], token, secret, st) != STATUS_OK) {
         return st->kind;
     }
     (void)crypto_hash_sha256(digest, (unsigned char *)token, strlen(token));
@@ -71,7 +72,7 @@
     .args = "NAME FILE",
     .min_args = 2,
     .max_args = 2,
-    .help = "Make an operator's credentials FILE; print the item for "
+    .help = "Generate an operator's credentials FILE; print the item for "
             "\"operators\" in the settings.",
     .run = run,
 };
--- a/cmd-node-status.c
+++ b/cmd-node-status.c
@@ -1,4 +1,4 @@
-/* ridgeridge node-status: asks a node for its state, or about one flow. */
+/* ridgeridge node-status: queries a node for its state or for one flow. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -8,10 +8,10 @@
 #include "evidence-verify.h"
 #include "evidence.h"
 
-#define PATH_BYTES 64 /* of a page of a node */
-#define URL_BYTES 160 /* of its whole URL */
+#define PATH_BYTES 64
+#define URL_BYTES 160
 
-/* Path of the page about a flow: named by its hash, or by its two ends. */
+/* Path of a flow's resource, from the flow's hash or its two endpoints. */
 static enum status_kind
 flow_path(const char **args, char *out, size_t size, struct status *st)
 {
@@ -22,10 +22,11 @@
     if (args[2] == NULL) {
         hash = strtoull(args[1], &end, 16);
         if (end == args[1] || *end != '\0') {
-            return status_set(st, STATUS_BAD_INPUT,
-                              "\"%s\" is no flow; give the 16 hex digits of "
-                              "\"flow\" in the log, or CALLER:PORT ROUTE:PORT",
-                              args[1]);
+            return status_set(
+                st, STATUS_BAD_INPUT,
+                "\"%s\" is not a flow; give the 16 hex digits of "
+                "\"flow\" in the log, or CALLER:PORT ROUTE:PORT",
+                args[1]);
         }
     }
     else if (address_parse(args[1], &packet.source, &packet.source_port) &&
@@ -35,14 +36,14 @@
     }
     else {
         return status_set(st, STATUS_BAD_INPUT,
-                          "give CALLER:PORT ROUTE:PORT as IPv4 addresses");
+                          "not an IPv4 address and port; give CALLER:PORT "
+                          "ROUTE:PORT");
     }
     (void)snprintf(out, size, "/v1/flows/%016llx", hash);
     return STATUS_OK;
 }
 
-/* Says whether the node recomputed every decision that it could to the same
- * result. */
+/* Fails when the node recomputed a decision with another result. */
 static enum status_kind
 check_decisions(json_object *doc, struct status *st)
 {
@@ -50,25 +51,24 @@
     size_t count = list != NULL ? json_object_array_length(list) : 0;
 
     for (size_t i = 0; i < count; i++) {
-        const char *proof =
+        const char *result =
             client_text(json_object_array_get_idx(list, i), "recomputed");
 
-        if (strcmp(proof, evidence_proof_name(EVIDENCE_DISPROVED)) == 0) {
+        if (strcmp(result, evidence_proof_name(EVIDENCE_DISPROVED)) == 0) {
             return status_set(st, STATUS_REFUSED,
-                              "decision %zu was recomputed to something else; "
-                              "keep this output and the node's log, and "
-                              "report it",
+                              "decision %zu differs from its recomputation; "
+                              "report it with this output and the node's "
+                              "log",
                               i + 1);
         }
     }
     return STATUS_OK;
 }
 
-/* Asks a node for a page and prints it. */
 static enum status_kind
 run(const struct cmd_options *options, const char **args, struct status *st)
 {
-    struct client_credentials nobody = {.name = ""};
+    struct client_credentials no_credentials = {.name = ""};
     struct client_reply reply = {0};
     char path[PATH_BYTES] = "/v1/status";
     char url[URL_BYTES];
@@ -79,12 +79,12 @@
         return st->kind;
     }
     (void)snprintf(url, sizeof(url), "http://%s%s", args[0], path);
-    client_call("GET", url, &nobody, NULL, NULL, 0, &reply);
+    client_call("GET", url, &no_credentials, NULL, NULL, 0, &reply);
     doc = client_json(&reply);
     if (doc == NULL) {
         (void)status_set(st, STATUS_NO_ANSWER,
                          "%s did not answer; give the address and "
-                         "metrics_port of a node that runs",
+                         "metrics_port of a running node",
                          args[0]);
     }
     else {
@@ -105,8 +105,8 @@
     .args = "ADDRESS:PORT [FLOW | CALLER ROUTE]",
     .min_args = 1,
     .max_args = 3,
-    .takes = CMD_VERIFY,
-    .help = "Show a node's state, or why it decided about a flow.",
+    .option_flags = CMD_VERIFY,
+    .help = "Show a node's state, or its decisions about a flow.",
     .libraries = LIBRARY_CURL,
     .run = run,
 };
--- a/cmd-node.c
+++ b/cmd-node.c
@@ -1,9 +1,8 @@
-/* ridgeridge node: runs an entry of a fleet that finds itself. */
+/* ridgeridge node: runs a node of a fleet with peer discovery. */
 #include "cmd.h"
 #include "log.h"
 #include "node.h"
 
-/* Loads the settings and runs until a planned stop is done. */
 static enum status_kind
 run(const struct cmd_options *options, const char **args, struct status *st)
 {
@@ -11,7 +10,8 @@
 
     (void)args;
     if (options->settings == NULL) {
-        return status_set(st, STATUS_BAD_INPUT, "--settings is needed");
+        return status_set(st, STATUS_BAD_INPUT,
+                          "--settings is missing; name the settings file");
     }
     if (node_settings_load(options->settings, &settings, st) != STATUS_OK) {
         return st->kind;
@@ -24,7 +24,7 @@
 const struct cmd cmd_node = {
     .name = "node",
     .args = "",
-    .takes = CMD_SETTINGS,
-    .help = "Run an entry of a fleet that finds itself; with a disk, a voter.",
+    .option_flags = CMD_SETTINGS,
+    .help = "Run a node: an entry with peer discovery; with a disk, a voter.",
     .run = run,
 };
--- a/cmd-reference.c
+++ b/cmd-reference.c
@@ -1,4 +1,4 @@
-/* ridgeridge reference: prints reference pages from the tables. */
+/* ridgeridge reference: prints reference pages in Markdown. */
 #include <stdio.h>
 #include <string.h>
 
@@ -8,7 +8,6 @@
 #include "node-settings.h"
 #include "ring.h"
 
-/* Prints the rules. */
 static void
 print_rules(void)
 {
@@ -19,7 +18,6 @@
     }
 }
 
-/* Prints the page that is named. */
 static enum status_kind
 run(const struct cmd_options *options, const char **args, struct status *st)
 {
@@ -38,8 +36,8 @@
     }
     else {
         return status_set(st, STATUS_BAD_INPUT,
-                          "\"%s\" is no page; name settings, node, bundle or "
-                          "rules",
+                          "no reference page \"%s\"; name settings, node, "
+                          "bundle or rules",
                           args[0]);
     }
     return STATUS_OK;
@@ -50,7 +48,7 @@
     .args = "settings|node|bundle|rules",
     .min_args = 1,
     .max_args = 1,
-    .help = "Print the reference of settings, bundles or rules, in "
+    .help = "Print the reference page of settings, bundles or rules in "
             "Markdown.",
     .run = run,
 };
--- a/cmd-sign-off.c
+++ b/cmd-sign-off.c
@@ -1,4 +1,4 @@
-/* ridgeridge sign-off: signs the accepted bundle off. */
+/* ridgeridge sign-off: signs the digest of the accepted bundle (Ed25519). */
 #include <glib.h>
 #include <sodium.h>
 #include <stdio.h>
@@ -8,7 +8,8 @@
 #include "auth.h"
 #include "cmd.h"
 
-/* Finds the digest of the accepted bundle of a version. */
+/* Finds the digest of the accepted bundle; false when it is another version or
+ * already rolled out. */
 static bool
 find_digest(const struct client_reply *reply, uint64_t version, char hex[65],
             struct status *st)
@@ -36,7 +37,6 @@
     return found;
 }
 
-/* Signs and sends. */
 static enum status_kind
 send_signature(const struct settings *settings,
                const struct client_credentials *credentials, uint64_t version,
@@ -67,7 +67,6 @@
     return st->kind;
 }
 
-/* Looks the digest up, signs it and sends the signature. */
 static enum status_kind
 run(const struct cmd_options *options, const char **args, struct status *st)
 {
@@ -99,9 +98,9 @@
     .args = "VERSION",
     .min_args = 1,
     .max_args = 1,
-    .takes = CMD_SETTINGS | CMD_CREDENTIALS,
+    .option_flags = CMD_SETTINGS | CMD_CREDENTIALS,
     .help = "Sign the accepted bundle off, as another operator than its "
-            "submitter; its roll-out begins.",
+            "submitter; starts its roll-out.",
     .libraries = LIBRARY_CURL,
     .run = run,
 };
--- a/cmd-status.c
+++ b/cmd-status.c
@@ -1,4 +1,4 @@
-/* ridgeridge status: the state of control and of the entries. */
+/* ridgeridge status: state of control, entries and upstreams. */
 #include <glib.h>
 #include <stdio.h>
 #include <string.h>
@@ -7,9 +7,8 @@
 #include "cmd.h"
 #include "explain.h"
 
-#define WATCH_US 1000000
+#define WATCH_INTERVAL_US 1000000
 
-/* Prints one entry. */
 static void
 print_entry(json_object *entry)
 {
@@ -26,7 +25,7 @@
                  json_object_get_boolean(stopping) ? "  stopping" : "");
 }
 
-/* Prints the accepted bundle. */
+/* Prints the bundle that is accepted and not yet in force. */
 static void
 print_pending(json_object *doc)
 {
@@ -35,14 +34,13 @@
     if (!json_object_object_get_ex(doc, "pending", &pending)) {
         return;
     }
-    (void)printf("accepted: version %lld by %s, digest %.16s..., waits for "
+    (void)printf("accepted: version %lld by %s, digest %.16s..., waiting for "
                  "sign-off or roll-out\n",
                  (long long)client_number(pending, "version"),
                  client_text(pending, "operator"),
                  client_text(pending, "digest"));
 }
 
-/* Prints the state as a table. */
 static void
 print_status(json_object *doc)
 {
@@ -80,7 +78,7 @@
     }
 }
 
-/* Prints one upstream of a service, summed over the entries. */
+/* Prints one upstream, with its flows summed over the entries. */
 static void
 print_upstream(json_object *answers, size_t service, size_t upstream)
 {
@@ -109,16 +107,17 @@
     }
 }
 
-/* Prints the upstreams as the entries know them. */
+/* Prints the upstreams, as the entries report them. */
 static void
 print_upstreams(const struct settings *settings,
                 const struct client_credentials *credentials,
                 struct status *st)
 {
-    GString *silent = g_string_new("");
-    struct status asked = *st;
-    json_object *answers = explain_ask_entries(
-        settings, credentials, "/.ridgeridge/status", silent, &asked);
+    GString *unanswered = g_string_new("");
+    struct status entries_status = *st;
+    json_object *answers =
+        explain_query_entries(settings, credentials, "/.ridgeridge/status",
+                              unanswered, &entries_status);
     json_object *services = NULL;
 
     if (json_object_array_length(answers) > 0) {
@@ -136,17 +135,17 @@
             print_upstream(answers, i, j);
         }
     }
-    if (silent->len > 0) {
-        (void)printf("not learned from: %s\n", silent->str);
+    if (unanswered->len > 0) {
+        (void)printf("no answer from: %s\n", unanswered->str);
     }
     json_object_put(answers);
-    g_string_free(silent, TRUE);
+    g_string_free(unanswered, TRUE);
 }
 
-/* Asks once and prints. */
+/* Queries control and the entries, and prints. */
 static enum status_kind
-ask_once(const struct cmd_options *options, const struct settings *settings,
-         const struct client_credentials *credentials, struct status *st)
+show_status(const struct cmd_options *options, const struct settings *settings,
+            const struct client_credentials *credentials, struct status *st)
 {
     struct client_reply reply = {0, NULL, 0};
     json_object *doc;
@@ -170,7 +169,6 @@
     return st->kind;
 }
 
-/* Asks, again and again when watching. */
 static enum status_kind
 run(const struct cmd_options *options, const char **args, struct status *st)
 {
@@ -181,11 +179,11 @@
     if (cmd_load(options, &settings, &credentials, st) != STATUS_OK) {
         return st->kind;
     }
-    (void)ask_once(options, &settings, &credentials, st);
+    (void)show_status(options, &settings, &credentials, st);
     while (options->watch) {
-        g_usleep(WATCH_US);
+        g_usleep(WATCH_INTERVAL_US);
         (void)printf("\n");
-        (void)ask_once(options, &settings, &credentials, st);
+        (void)show_status(options, &settings, &credentials, st);
     }
     settings_free(&settings);
     return st->kind;
@@ -194,7 +192,7 @@
 const struct cmd cmd_status = {
     .name = "status",
     .args = "",
-    .takes = CMD_SETTINGS | CMD_CREDENTIALS | CMD_JSON | CMD_WATCH,
+    .option_flags = CMD_SETTINGS | CMD_CREDENTIALS | CMD_JSON | CMD_WATCH,
     .help = "Show the bundle, its roll-out, the entries and their leases; "
             "exit 3 when no quorum confirms it.",
     .libraries = LIBRARY_CURL,
--- a/cmd-submit.c
+++ b/cmd-submit.c
@@ -6,8 +6,8 @@
 #include "bundle.h"
 #include "cmd.h"
 
-/* Names the submission: as told, or by the operator, version and digest, so
- * that the same command sent again is the same submission. */
+/* Idempotency key of the submission: the option, or operator, version and
+ * digest, so that repeating the command repeats the submission. */
 static char *
 submission_id(const struct cmd_options *options, const char *operator_name,
               const struct bundle *bundle)
@@ -23,7 +23,7 @@
                            (unsigned long long)bundle->version, hex);
 }
 
-/* Checks the bundle here, then submits it. */
+/* Validates the bundle locally before submitting it. */
 static enum status_kind
 run(const struct cmd_options *options, const char **args, struct status *st)
 {
@@ -61,8 +61,8 @@
     .args = "BUNDLE",
     .min_args = 1,
     .max_args = 1,
-    .takes = CMD_SETTINGS | CMD_CREDENTIALS | CMD_SUBMISSION,
-    .help = "Submit a bundle; sending it again gets the first outcome.",
+    .option_flags = CMD_SETTINGS | CMD_CREDENTIALS | CMD_SUBMISSION,
+    .help = "Submit a bundle; submitting it again returns the first outcome.",
     .libraries = LIBRARY_CURL,
     .run = run,
 };
--- a/cmd-voters.c
+++ b/cmd-voters.c
@@ -1,4 +1,4 @@
-/* ridgeridge voters: adds or removes a control replica. */
+/* ridgeridge voters: adds a control replica to the voters, or removes one. */
 #include <glib.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -6,7 +6,6 @@
 
 #include "cmd.h"
 
-/* Sends the change. */
 static enum status_kind
 run(const struct cmd_options *options, const char **args, struct status *st)
 {
@@ -35,9 +34,9 @@
     .args = "REPLICA",
     .min_args = 1,
     .max_args = 1,
-    .takes = CMD_SETTINGS | CMD_CREDENTIALS | CMD_REMOVE,
+    .option_flags = CMD_SETTINGS | CMD_CREDENTIALS | CMD_REMOVE,
     .help = "Add a caught-up control VM to the voters, or remove one; one "
-            "at a time.",
+            "change at a time.",
     .libraries = LIBRARY_CURL,
     .run = run,
 };
--- a/cmd.h
+++ b/cmd.h
@@ -1,7 +1,7 @@
 /**
  * @file cmd.h
- * The table of commands. Each cmd-*.c ends in one entry of it; parsing, help
- * and shell completion come from the entries alone.
+ * Command-line commands. Each cmd-*.c defines one struct cmd, from which
+ * ridgeridge.c derives option parsing, help and shell completion.
  */
 #ifndef RIDGERIDGE_CMD_H
 #define RIDGERIDGE_CMD_H
@@ -14,7 +14,7 @@
 #include "settings.h"
 #include "status.h"
 
-/** Options that every command knows; a command takes those it names. */
+/** Values of the options; NULL or 0 when not given. */
 struct cmd_options {
     char *settings;    /**< --settings FILE */
     char *credentials; /**< --credentials FILE */
@@ -26,8 +26,8 @@
     int remove;        /**< --remove */
 };
 
-/** Which options a command takes, as bits. */
-enum cmd_takes {
+/** Options of a command, as flags. */
+enum cmd_option_flags {
     CMD_SETTINGS = 1,
     CMD_CREDENTIALS = 2,
     CMD_JSON = 4,
@@ -38,16 +38,15 @@
     CMD_REMOVE = 128,
 };
 
-/** One command. */
 struct cmd {
-    const char *name;   /**< as typed */
-    const char *args;   /**< operands, for usage */
-    int min_args;       /**< operands at least */
-    int max_args;       /**< operands at most */
-    unsigned takes;     /**< enum cmd_takes */
-    const char *help;   /**< one sentence */
-    unsigned libraries; /**< enum library_set: loaded before it runs */
-    /** Runs it. `args` ends with NULL. */
+    const char *name;      /**< on the command line */
+    const char *args;      /**< operands, for the usage line */
+    int min_args;          /**< least number of operands */
+    int max_args;          /**< greatest number of operands */
+    unsigned option_flags; /**< enum cmd_option_flags */
+    const char *help;      /**< one sentence, for help */
+    unsigned libraries;    /**< enum library_set, loaded before `run` */
+    /** Runs the command. @param args operands, NULL-terminated */
     enum status_kind (*run)(const struct cmd_options *options,
                             const char **args, struct status *st);
 };
@@ -69,12 +68,13 @@
 extern const struct cmd cmd_report;
 extern const struct cmd cmd_reference;
 
-/** Loads the settings of a VM, checks its role and opens its log. */
+/** Loads the settings of a VM, checks its role and opens the log. */
 enum status_kind cmd_load_role(const struct cmd_options *options,
                                enum settings_role role,
                                struct settings *settings, struct status *st);
 
-/** Loads what operators' commands need; free the settings afterwards. */
+/** Loads settings and credentials of an operator's command; free with
+ * settings_free(). */
 enum status_kind cmd_load(const struct cmd_options *options,
                           struct settings *settings,
                           struct client_credentials *credentials,
--- a/control-http.c
+++ b/control-http.c
@@ -222,7 +222,7 @@
     json_object_object_add(doc, "result", json_object_new_string("ok"));
     json_object_object_add(doc, "message",
                            json_object_new_string(st->message));
-    page_json(response, doc);
+    page_send_json(response, doc);
 }
 
 /* Returns the operator of the token; responds 401 and returns NULL without. */
@@ -378,7 +378,7 @@
         json_object_new_boolean(req.waiter.status.kind == STATUS_OK));
     json_object_object_add(req.status_doc, "unconfirmed_because",
                            json_object_new_string(req.waiter.status.message));
-    page_json(response, req.status_doc);
+    page_send_json(response, req.status_doc);
     g_free(req.bundle_text);
     return U_CALLBACK_COMPLETE;
 }
@@ -416,7 +416,7 @@
     struct control *control = data;
 
     (void)request;
-    page_counters(response, &control->counters);
+    page_send_metrics(response, &control->counters);
     return U_CALLBACK_COMPLETE;
 }
 
@@ -448,8 +448,8 @@
 enum status_kind
 control_open_http(struct control *control, struct status *st)
 {
-    enum status_kind kind = page_open_http(&control->http, &control->settings,
-                                           routes, BODY_MAX, control, st);
+    enum status_kind kind = page_start_http(&control->http, &control->settings,
+                                            routes, BODY_MAX, control, st);
 
     control->http_open = kind == STATUS_OK;
     return kind;
--- a/counter.c
+++ b/counter.c
@@ -1,9 +1,8 @@
-/* The table of counters and its text form. */
+/* Prometheus counters. */
 #include "counter.h"
 
 #include <stdio.h>
 
-/* Name and help of each counter. */
 static const struct {
     const char *name;
     const char *help;
@@ -13,28 +12,24 @@
 #undef X
 };
 
-/* Adds to one counter. */
 void
-counter_add(struct counters *set, enum counter_id id, uint64_t more)
+counter_add(struct counters *set, enum counter_id id, uint64_t delta)
 {
-    (void)__atomic_fetch_add(&set->value[id], more, __ATOMIC_RELAXED);
+    (void)__atomic_fetch_add(&set->value[id], delta, __ATOMIC_RELAXED);
 }
 
-/* Value of one counter. */
 uint64_t
 counter_read(const struct counters *set, enum counter_id id)
 {
     return __atomic_load_n(&set->value[id], __ATOMIC_RELAXED);
 }
 
-/* Names one counter. */
 const char *
 counter_name(enum counter_id id)
 {
     return counter_table[id].name;
 }
 
-/* Prints all counters as Prometheus text exposition. */
 size_t
 counter_print(const struct counters *set, char *out, size_t size)
 {
--- a/counter.h
+++ b/counter.h
@@ -1,8 +1,7 @@
 /**
  * @file counter.h
- * The project's counters: one table of name, unit and help, and one value
- * each. Cores count into a struct counters of their own, so that many cores
- * can live in one process; shells print it as Prometheus text.
+ * Prometheus counters in the text exposition format. Each core has its own
+ * struct counters, so that several can run in one process.
  */
 #ifndef RIDGERIDGE_COUNTER_H
 #define RIDGERIDGE_COUNTER_H
@@ -10,97 +9,119 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/** X(identifier, name, help): the one table of counters. */
+/** X(identifier, metric name, help). */
 #define COUNTER_TABLE(X)                                                      \
     X(PACKETS_IN, "packets_in_total", "encapsulated packets received")        \
-    X(PACKETS_FORWARDED, "packets_forwarded_total", "sent to an upstream")    \
-    X(PACKETS_RETURNED, "packets_returned_total", "sent back to a caller")    \
-    X(PACKETS_HANDED, "packets_handed_total", "handed to another entry")      \
-    X(PACKETS_MALFORMED, "packets_malformed_total", "dropped: unreadable")    \
-    X(PACKETS_NO_SERVICE, "packets_no_service_total", "dropped: no service")  \
+    X(PACKETS_FORWARDED, "packets_forwarded_total",                           \
+      "packets forwarded to an upstream")                                     \
+    X(PACKETS_RETURNED, "packets_returned_total",                             \
+      "packets returned to a caller")                                         \
+    X(PACKETS_TO_PEER, "packets_handed_total",                                \
+      "packets forwarded to another entry")                                   \
+    X(PACKETS_MALFORMED, "packets_malformed_total",                           \
+      "packets dropped: malformed")                                           \
+    X(PACKETS_NO_SERVICE, "packets_no_service_total",                         \
+      "packets dropped: no service at the destination")                       \
     X(PACKETS_NO_UPSTREAM, "packets_no_upstream_total",                       \
-      "dropped: no upstream may take it")                                     \
-    X(PACKETS_TOO_FAR, "packets_too_far_total", "dropped: handed too often")  \
-    X(FLOWS_NEW, "flows_new_total", "flows first seen here")                  \
-    X(FLOWS_EVICTED, "flows_evicted_total", "live records pushed out")        \
-    X(RECORDS_SENT, "flow_records_sent_total", "flow records to keepers")     \
-    X(RECORDS_LEARNED, "flow_records_learned_total", "flow records taken")    \
-    X(MSGS_IN, "messages_in_total", "messages from other processes")          \
-    X(MSGS_MALFORMED, "messages_malformed_total", "dropped: unreadable")      \
-    X(MSGS_FORGED, "messages_forged_total", "dropped: key did not match")     \
-    X(MSGS_STALE, "messages_stale_total", "dropped: old term or version")     \
-    X(CONTROL_BYTES_OUT, "control_bytes_out_total", "control bytes sent")     \
-    X(CONTROL_BYTES_IN, "control_bytes_in_total", "control bytes received")   \
+      "packets dropped: no eligible upstream")                                \
+    X(PACKETS_HOP_LIMIT, "packets_too_far_total",                             \
+      "packets dropped: too many hops between entries")                       \
+    X(FLOWS_NEW, "flows_new_total", "new flows")                              \
+    X(FLOWS_EVICTED, "flows_evicted_total", "live flow records evicted")      \
+    X(RECORDS_SENT, "flow_records_sent_total",                                \
+      "flow records sent to keepers")                                         \
+    X(RECORDS_LEARNED, "flow_records_learned_total",                          \
+      "flow records received from other entries")                             \
+    X(MSGS_IN, "messages_in_total", "messages received from other processes") \
+    X(MSGS_MALFORMED, "messages_malformed_total",                             \
+      "messages dropped: malformed")                                          \
+    X(MSGS_FORGED, "messages_forged_total",                                   \
+      "messages dropped: authentication failed")                              \
+    X(MSGS_STALE, "messages_stale_total",                                     \
+      "messages dropped: stale term, epoch or version")                       \
+    X(CONTROL_BYTES_OUT, "control_bytes_out_total",                           \
+      "control-plane bytes sent")                                             \
+    X(CONTROL_BYTES_IN, "control_bytes_in_total",                             \
+      "control-plane bytes received")                                         \
     X(CONSENSUS_BYTES_OUT, "consensus_bytes_out_total",                       \
-      "of those, between voters: rounds, entries, snapshots, votes")          \
+      "control-plane bytes sent: consensus between voters")                   \
     X(TABLE_BYTES_OUT, "table_bytes_out_total",                               \
-      "of those, copies of the routing table")                                \
+      "control-plane bytes sent: routing tables")                             \
     X(INVENTORY_BYTES_OUT, "inventory_bytes_out_total",                       \
-      "of those, records of upstreams, their marks, and doubts")              \
+      "control-plane bytes sent: upstream records, digests, suspicions")      \
     X(MEMBER_BYTES_OUT, "member_bytes_out_total",                             \
-      "of those, hellos and lists of members")                                \
+      "control-plane bytes sent: hellos and member lists")                    \
     X(MSGS_TOO_LARGE, "messages_too_large_total",                             \
-      "not sent: no datagram holds them, a fault of ours")                    \
+      "messages not sent: larger than a datagram (a bug)")                    \
     X(REQUEST_BYTES_OUT, "request_bytes_out_total",                           \
-      "bytes between entries on behalf of requests")                          \
+      "bytes sent between entries for requests")                              \
     X(REQUESTS, "requests_total", "requests received")                        \
-    X(REQUESTS_ANSWERED, "requests_answered_total", "answered whole")         \
+    X(REQUESTS_ANSWERED, "requests_answered_total",                           \
+      "requests answered completely")                                         \
     X(REQUESTS_NOT_RUN, "requests_not_run_total",                             \
-      "refused, provably not run")                                            \
-    X(REQUESTS_UNKNOWN, "requests_unknown_total", "ended with no proof")      \
-    X(REQUESTS_REPEATED, "requests_repeated_total", "served from a record")   \
-    X(REQUESTS_IN_TIME, "requests_in_time_total", "within the objective")     \
+      "requests refused and not run at any upstream")                         \
+    X(REQUESTS_UNKNOWN, "requests_unknown_total",                             \
+      "requests with an unknown outcome")                                     \
+    X(REQUESTS_REPEATED, "requests_repeated_total",                           \
+      "requests answered from a key record")                                  \
+    X(REQUESTS_IN_TIME, "requests_in_time_total",                             \
+      "requests answered within the objective")                               \
     X(REQUESTS_RETRIED, "requests_retried_total",                             \
-      "sent to a second upstream")                                            \
-    X(ANSWERS_LATE, "answers_late_total", "dropped: already answered")        \
-    X(HTTP_MALFORMED, "http_malformed_total", "HTTP requests refused as bad") \
-    X(LEASES, "leases_total", "leases taken")                                 \
-    X(BUNDLES_APPLIED, "bundles_applied_total", "bundles or steps applied")   \
+      "requests retried at a second upstream")                                \
+    X(ANSWERS_LATE, "answers_late_total",                                     \
+      "upstream responses dropped: request already finished")                 \
+    X(HTTP_MALFORMED, "http_malformed_total",                                 \
+      "HTTP requests refused: malformed or unknown path")                     \
+    X(LEASES, "leases_total", "leases received")                              \
+    X(BUNDLES_APPLIED, "bundles_applied_total",                               \
+      "bundles, steps or routing tables applied")                             \
     X(ELECTIONS, "elections_total", "elections started")                      \
     X(COMMITS, "commits_total", "log entries committed")                      \
-    X(STORE_ERRORS, "store_errors_total", "failed writes of state")           \
-    X(FLOWS_REFUSED, "flows_refused_total", "reset towards the caller")       \
-    X(FLOWS_MOVED_OFF, "flows_moved_off_total",                               \
-      "opened at a second upstream: the first gave no sign of life")          \
+    X(STORE_ERRORS, "store_errors_total", "failed writes to the store")       \
+    X(FLOWS_REFUSED, "flows_refused_total", "flows reset towards the caller") \
+    X(FLOWS_REROUTED, "flows_moved_off_total",                                \
+      "flows rerouted to a second upstream: the first did not answer")        \
     X(PACKETS_NO_EVIDENCE, "packets_no_evidence_total",                       \
-      "dropped: named no upstream, or one not known here")                    \
+      "packets dropped: no evidence, or its upstream is unknown")             \
     X(PACKETS_HELD, "packets_held_total",                                     \
-      "held until the table and the inventory are known")                     \
-    X(PACKETS_CARRIED, "packets_carried_total",                               \
-      "sent by a detour: their upstream's data hall is cut off from here")    \
+      "packets held until routing table and upstreams are known")             \
+    X(PACKETS_RELAYED, "packets_carried_total",                               \
+      "packets relayed: no direct path to the upstream's data hall")          \
     X(PACKETS_STALE, "packets_stale_total",                                   \
-      "first packets dropped: they waited while the process stood still")     \
-    X(SENDS_WAITED, "sends_waited_total",                                     \
-      "datagrams that waited for the link")                                   \
-    X(PACKETS_COPIES, "packets_copies_total",                                 \
-      "callers' packets dropped: the same one waited for the link")           \
+      "first packets dropped after the process stalled")                      \
+    X(SENDS_WAITED, "sends_waited_total", "datagrams queued for the link")    \
+    X(PACKETS_DUPLICATE, "packets_copies_total",                              \
+      "callers' packets dropped: duplicate of a queued packet")               \
     X(PACKETS_UNSENT, "packets_unsent_total",                                 \
-      "callers' packets dropped: too much waited for the link")               \
+      "callers' packets dropped: queue for the link full")                    \
     X(MSGS_UNSENT, "messages_unsent_total",                                   \
-      "messages to nodes dropped: too much waited for the link")              \
-    X(WAKEUPS, "wakeups_total", "times that the loop of a node was due")      \
+      "messages to nodes dropped: queue for the link full")                   \
+    X(WAKEUPS, "wakeups_total", "wake-ups of the event loop")                 \
     X(WAKEUPS_LATE, "wakeups_late_total",                                     \
-      "of those, so late that the process must have stood still")             \
+      "wake-ups so late that the process had stalled")                        \
     X(DEADLINES_MISSED, "deadlines_missed_total",                             \
-      "deadlines that a wake-up left in the past: a fault of ours")           \
-    X(REGISTRATIONS, "registrations_total", "taken from upstreams")           \
+      "deadlines in the past after a wake-up (a bug)")                        \
+    X(REGISTRATIONS, "registrations_total",                                   \
+      "registrations of upstreams received")                                  \
     X(REGISTRATIONS_LATE, "registrations_late_total",                         \
-      "overtaken by a later one, or by another upstream at the address")      \
+      "registrations superseded by a newer one or another upstream")          \
     X(REGISTRATIONS_REFUSED, "registrations_refused_total",                   \
-      "unreadable registrations")                                             \
-    X(TABLES_TAKEN, "tables_acknowledged_total",                              \
-      "operators' tables acknowledged here")                                  \
-    X(TABLES_INVALID, "tables_invalid_total", "operators' tables refused")    \
+      "registrations refused: malformed")                                     \
+    X(TABLES_ACKNOWLEDGED, "tables_acknowledged_total",                       \
+      "operators' routing tables acknowledged")                               \
+    X(TABLES_INVALID, "tables_invalid_total",                                 \
+      "operators' routing tables refused")                                    \
     X(HALL_ORDERS, "hall_orders_acknowledged_total",                          \
-      "operators' orders about data halls acknowledged here")                 \
+      "operators' orders about data halls acknowledged")                      \
     X(TABLES_UNCONFIRMED, "tables_unconfirmed_total",                         \
-      "tables and reads answered 503: no leader, or no quorum in time")       \
+      "operators' requests answered 503: no leader or no quorum")             \
     X(NODES_UNANSWERED, "nodes_unanswered_total",                             \
-      "nodes that did not acknowledge changes of upstreams")                  \
-    X(REDIRECTS, "redirects_total", "operators sent to the leader")           \
-    X(LOG_LINES_LOST, "log_lines_lost_total", "not written: the pipe was full")
+      "nodes that did not acknowledge upstream changes in time")              \
+    X(REDIRECTS, "redirects_total",                                           \
+      "operators' requests redirected to the leader")                         \
+    X(LOG_LINES_LOST, "log_lines_lost_total",                                 \
+      "log lines lost: the pipe was full")
 
-/** Index of a counter. */
 enum counter_id {
 #define X(id, name, help) COUNTER_##id,
     COUNTER_TABLE(X)
@@ -108,21 +129,22 @@
         COUNTER_COUNT
 };
 
-/** A set of counters, all from zero. */
+/** A set of counters; zero-initialized. */
 struct counters {
     uint64_t value[COUNTER_COUNT]; /**< by enum counter_id */
 };
 
-/** Adds to a counter; safe from any thread. */
-void counter_add(struct counters *set, enum counter_id id, uint64_t more);
+/** Thread-safe. */
+void counter_add(struct counters *set, enum counter_id id, uint64_t delta);
 
-/** Value of a counter; safe from any thread. */
+/** Thread-safe. */
 uint64_t counter_read(const struct counters *set, enum counter_id id);
 
-/** Name of a counter, without the ridgeridge_ prefix. */
+/** Metric name without the ridgeridge_ prefix. */
 const char *counter_name(enum counter_id id);
 
-/** Writes all counters as Prometheus text; returns the bytes written. */
+/** Writes all counters in Prometheus text format; returns the bytes
+ * written. */
 size_t counter_print(const struct counters *set, char *out, size_t size);
 
 #endif
--- a/entry-http.c
+++ b/entry-http.c
@@ -274,7 +274,7 @@
         query.subject = strtoull(subject, NULL, 16);
     }
     loop_call(on_query, &query);
-    page_json(response, query.result);
+    page_send_json(response, query.result);
     return U_CALLBACK_COMPLETE;
 }
 
@@ -314,7 +314,7 @@
     struct entry *entry = data;
 
     (void)request;
-    page_counters(response, &entry->counters);
+    page_send_metrics(response, &entry->counters);
     return U_CALLBACK_COMPLETE;
 }
 
@@ -331,8 +331,8 @@
 enum status_kind
 entry_open_http(struct entry *entry, struct status *st)
 {
-    enum status_kind kind = page_open_http(&entry->http, &entry->settings,
-                                           routes, BODY_MAX, entry, st);
+    enum status_kind kind = page_start_http(&entry->http, &entry->settings,
+                                            routes, BODY_MAX, entry, st);
 
     entry->http_open = kind == STATUS_OK;
     return kind;
--- a/evidence.c
+++ b/evidence.c
@@ -235,7 +235,7 @@
         counter_add(ev->counters, COUNTER_FLOWS_NEW, 1);
     }
     if (rerouted) {
-        counter_add(ev->counters, COUNTER_FLOWS_MOVED_OFF, 1);
+        counter_add(ev->counters, COUNTER_FLOWS_REROUTED, 1);
     }
     flow = bind_flow(ev, now, verdict->flow, flow, upstream);
     if (upstream_is_warming_up(upstream, now)) {
--- a/explain.c
+++ b/explain.c
@@ -1,4 +1,4 @@
-/* Asking the entries, and recomputing what they decided. */
+/* Client side of the explain commands. */
 #include "explain.h"
 
 #include <glib.h>
@@ -9,9 +9,8 @@
 #include "address.h"
 #include "packet.h"
 
-/* Hashes a flow. */
 uint64_t
-explain_hash(const struct explain_flow *flow)
+explain_flow_hash(const struct explain_flow *flow)
 {
     struct packet packet = {.source = flow->source,
                             .destination = flow->service->address,
@@ -24,10 +23,11 @@
     return packet_hash(&packet);
 }
 
-/* Asks one entry; adds its answer, or its name to the silent ones. */
+/* Gets `path` from one entry; adds its response, or its name to the unanswered
+ * ones. */
 static void
-ask_entry(json_object *entry, const struct client_credentials *credentials,
-          const char *path, json_object *out, GString *silent)
+query_entry(json_object *entry, const struct client_credentials *credentials,
+            const char *path, json_object *out, GString *unanswered)
 {
     char *url =
         g_strdup_printf("http://%s%s", client_text(entry, "http"), path);
@@ -42,18 +42,17 @@
         json_object_array_add(out, doc);
     }
     else {
-        g_string_append_printf(silent, "%s%s", silent->len ? "," : "",
+        g_string_append_printf(unanswered, "%s%s", unanswered->len ? "," : "",
                                client_text(entry, "name"));
     }
     client_free(&reply);
     g_free(url);
 }
 
-/* Asks every entry. */
 json_object *
-explain_ask_entries(const struct settings *settings,
-                    const struct client_credentials *credentials,
-                    const char *path, GString *silent, struct status *st)
+explain_query_entries(const struct settings *settings,
+                      const struct client_credentials *credentials,
+                      const char *path, GString *unanswered, struct status *st)
 {
     struct client_reply reply = {0, NULL, 0};
     json_object *out = json_object_new_array();
@@ -65,8 +64,8 @@
     doc = client_json(&reply);
     if (doc != NULL && json_object_object_get_ex(doc, "entries", &entries)) {
         for (size_t i = 0; i < json_object_array_length(entries); i++) {
-            ask_entry(json_object_array_get_idx(entries, i), credentials, path,
-                      out, silent);
+            query_entry(json_object_array_get_idx(entries, i), credentials,
+                        path, out, unanswered);
         }
     }
     json_object_put(doc);
@@ -74,11 +73,10 @@
     return out;
 }
 
-/* Fetches and reads the bundle in force. */
 enum status_kind
-explain_load_bundle(const struct settings *settings,
-                    const struct client_credentials *credentials,
-                    struct bundle *out, struct status *st)
+explain_fetch_bundle(const struct settings *settings,
+                     const struct client_credentials *credentials,
+                     struct bundle *out, struct status *st)
 {
     struct client_reply reply = {0, NULL, 0};
 
@@ -92,18 +90,18 @@
     return st->kind;
 }
 
-/* Writes an upstream's endpoint. */
 static void
-write_endpoint(const struct flow *flow, upstream_id id, char out[ADDRESS_TEXT])
+format_endpoint(const struct flow *flow, upstream_id id,
+                char out[ADDRESS_TEXT])
 {
     const struct flow_upstream *u = flow_upstream(flow, id);
 
     (void)address_format(u ? u->address : 0, u ? u->port : 0, out);
 }
 
-/* Says whether a rule takes the owner of the bucket now. */
+/* Whether a rule assigns the current owner of the bucket. */
 static bool
-takes_owner(const char *rule)
+assigns_owner(const char *rule)
 {
     enum ring_rule r = ring_rule_parse(rule);
 
@@ -111,19 +109,19 @@
            r == RULE_KEEPER_DEFAULT;
 }
 
-/* Compares a decision with what the tables of the bundle say. */
+/* Compares a decision with the tables of the bundle. */
 static bool
-compare(const struct flow *flow, uint16_t index, uint64_t hash,
-        json_object *decision, char *why, size_t size)
+compare_decision(const struct flow *flow, uint16_t index, uint64_t hash,
+                 json_object *decision, char *why, size_t size)
 {
     const char *rule = client_text(decision, "rule");
     char owner[ADDRESS_TEXT];
     char digest[24];
-    upstream_id now_owner;
-    upstream_id old_owner;
+    upstream_id owner_id;
+    upstream_id old_owner_id;
 
-    flow_owners(flow, index, hash, &now_owner, &old_owner);
-    write_endpoint(flow, now_owner, owner);
+    flow_owners(flow, index, hash, &owner_id, &old_owner_id);
+    format_endpoint(flow, owner_id, owner);
     (void)snprintf(digest, sizeof(digest), "%016llx",
                    (unsigned long long)flow_table_digest(flow, index));
     if (strcmp(rule, ring_rule_name(RULE_NO_LEASE)) == 0) {
@@ -140,7 +138,7 @@
                        client_text(decision, "owner_now"), owner);
         return false;
     }
-    if (takes_owner(rule) &&
+    if (assigns_owner(rule) &&
         strcmp(client_text(decision, "upstream"), owner) != 0) {
         (void)snprintf(why, size,
                        "upstream under rule %s: recorded %s, recomputed %s",
@@ -150,7 +148,6 @@
     return true;
 }
 
-/* Recomputes a decision with the core. */
 bool
 explain_verify_flow(const struct bundle *bundle, const char *service,
                     uint64_t hash, json_object *decision, char *why,
@@ -167,7 +164,7 @@
     (void)flow_apply(flow, 1, bundle, NULL, FLOW_STEP_SETTLED);
     index = flow_find_named(flow, service);
     ok = index != FLOW_NO_SERVICE &&
-         compare(flow, index, hash, decision, why, size);
+         compare_decision(flow, index, hash, decision, why, size);
     if (index == FLOW_NO_SERVICE) {
         (void)snprintf(why, size, "the bundle has no flow service %s",
                        service);
--- a/explain.h
+++ b/explain.h
@@ -1,8 +1,7 @@
 /**
  * @file explain.h
- * The operators' side of explaining: what every entry recorded about a
- * subject, and the recomputation of a decision from the bundle with the same
- * core that made it.
+ * Client side of the explain commands: queries all entries, and recomputes a
+ * recorded flow decision from the bundle with the data plane's own code.
  */
 #ifndef RIDGERIDGE_EXPLAIN_H
 #define RIDGERIDGE_EXPLAIN_H
@@ -14,35 +13,37 @@
 #include "client.h"
 #include "flow.h"
 
-/** A flow as an operator names it. */
+/** A flow by its caller and service. */
 struct explain_flow {
     uint32_t source;                      /**< caller's address, host order */
     uint16_t source_port;                 /**< caller's port */
-    const struct bundle_service *service; /**< of the bundle */
+    const struct bundle_service *service; /**< in the bundle */
 };
 
-/** Hash of a flow, as entries compute it. */
-uint64_t explain_hash(const struct explain_flow *flow);
+/** Same hash as packet_hash() at the entries. */
+uint64_t explain_flow_hash(const struct explain_flow *flow);
 
 /**
- * Asks every entry of the epoch for a page.
- * @param silent entries that did not answer, by name
- * @return an array of answers
+ * Gets `path` from every entry of the current epoch.
+ * @param unanswered gets the names of entries without a valid response,
+ * separated by commas
+ * @return array of the JSON responses
  */
-json_object *explain_ask_entries(const struct settings *settings,
-                                 const struct client_credentials *credentials,
-                                 const char *path, GString *silent,
-                                 struct status *st);
+json_object *
+explain_query_entries(const struct settings *settings,
+                      const struct client_credentials *credentials,
+                      const char *path, GString *unanswered,
+                      struct status *st);
 
-/** Fetches and reads the bundle in force. */
+/** Fetches and parses the bundle in force. */
 enum status_kind
-explain_load_bundle(const struct settings *settings,
-                    const struct client_credentials *credentials,
-                    struct bundle *out, struct status *st);
+explain_fetch_bundle(const struct settings *settings,
+                     const struct client_credentials *credentials,
+                     struct bundle *out, struct status *st);
 
 /**
  * Recomputes a recorded flow decision from the bundle.
- * @return false with both sides in `why` when they differ
+ * @return false when they differ, with both values in `why`
  */
 bool explain_verify_flow(const struct bundle *bundle, const char *service,
                          uint64_t hash, json_object *decision, char *why,
--- a/flow-steer.c
+++ b/flow-steer.c
@@ -87,7 +87,7 @@
     s->out->hops = (uint8_t)(s->packet->hops + 1);
     s->out->origin =
         s->packet->handed ? s->packet->origin : s->flow->options.self;
-    counter_add(s->flow->options.counters, COUNTER_PACKETS_HANDED, 1);
+    counter_add(s->flow->options.counters, COUNTER_PACKETS_TO_PEER, 1);
     note_decision(s);
 }
 
@@ -324,7 +324,7 @@
 
     *out = (struct flow_verdict){0};
     if (packet->hops > FLOW_HOPS_MAX) {
-        drop(&s, RULE_HOP_LIMIT, COUNTER_PACKETS_TOO_FAR);
+        drop(&s, RULE_HOP_LIMIT, COUNTER_PACKETS_HOP_LIMIT);
         return;
     }
     if (now >= flow->lease_deadline + FLOW_STALE_MS) {
--- a/histogram.c
+++ b/histogram.c
@@ -1,21 +1,19 @@
-/* The table of histograms and its text form. */
+/* Prometheus histograms. */
 #include "histogram.h"
 
 #include <stdio.h>
 
-#define FIRST_BOUND_US 16ULL /* of the first bucket; each next is twice it */
+#define FIRST_BOUND_US 16ULL /* each next bound is twice the one before */
 
-/* Name and help of each. */
 static const struct {
     const char *name;
     const char *help;
-} table[HISTOGRAM_COUNT] = {
+} histogram_table[HISTOGRAM_COUNT] = {
 #define X(id, name, help) {name, help},
     HISTOGRAM_TABLE(X)
 #undef X
 };
 
-/* Adds one duration. */
 void
 histogram_add(struct histograms *set, enum histogram_id id, uint64_t us)
 {
@@ -28,17 +26,16 @@
     (void)__atomic_fetch_add(&set->sum_us[id], us, __ATOMIC_RELAXED);
 }
 
-/* Writes one histogram. */
 static size_t
-print_one(const struct histograms *set, int id, char *out, size_t size)
+print_histogram(const struct histograms *set, int id, char *out, size_t size)
 {
-    const char *name = table[id].name;
+    const char *name = histogram_table[id].name;
     uint64_t count = 0;
     size_t used;
     int n = snprintf(out, size,
                      "# HELP ridgeridge_%s %s\n"
                      "# TYPE ridgeridge_%s histogram\n",
-                     name, table[id].help, name);
+                     name, histogram_table[id].help, name);
 
     used = n > 0 ? (size_t)n : 0;
     for (int i = 0; i <= HISTOGRAM_BUCKETS && used < size; i++) {
@@ -65,14 +62,13 @@
     return used < size ? used : size;
 }
 
-/* Writes all. */
 size_t
 histogram_print(const struct histograms *set, char *out, size_t size)
 {
     size_t used = 0;
 
     for (int i = 0; i < HISTOGRAM_COUNT && used < size; i++) {
-        used += print_one(set, i, out + used, size - used);
+        used += print_histogram(set, i, out + used, size - used);
     }
     return used;
 }
--- a/histogram.h
+++ b/histogram.h
@@ -1,10 +1,7 @@
 /**
  * @file histogram.h
- * Latency histograms with fixed bounds, beside the counters: one table of
- * name and help, printed as Prometheus text. The registry serves no C library
- * for this (one in C++, one in Go, one in Java were found), so it is part of
- * the project's own counters. Owns the bounds and the text; what is measured
- * is up to who adds.
+ * Prometheus histograms of durations with fixed, exponential buckets, in the
+ * text exposition format. See counter.h for counters.
  */
 #ifndef RIDGERIDGE_HISTOGRAM_H
 #define RIDGERIDGE_HISTOGRAM_H
@@ -12,24 +9,25 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/** Bounds are 16 us, 32 us, ... 8.4 s; the last bucket has no bound. */
-#define HISTOGRAM_BUCKETS 21
+#define HISTOGRAM_BUCKETS 21 /**< upper bounds 16 us, 32 us, ... 16.8 s */
 
-/** X(identifier, name, help): the one table of histograms. */
+/** X(identifier, metric name, help). */
 #define HISTOGRAM_TABLE(X)                                                    \
-    X(PACKET, "packet_seconds", "from reading a batch to sending it")         \
+    X(PACKET, "packet_seconds",                                               \
+      "from receiving a batch of packets to sending it")                      \
     X(EGRESS, "egress_wait_seconds",                                          \
-      "of datagrams that waited for the link: until they left")               \
+      "queueing delay of datagrams that waited for the link")                 \
     X(OPERATOR, "operator_call_seconds",                                      \
-      "from an operator's call to its answer, by the leader")                 \
-    X(APPLY, "table_apply_seconds", "from a table's arrival to its use")      \
+      "from an operator's request to the leader's response")                  \
+    X(APPLY, "table_apply_seconds",                                           \
+      "from receipt of a routing table to its activation")                    \
     X(REGISTRATION, "registration_seconds",                                   \
-      "from a registration's head to its answer")                             \
-    X(TOLD, "change_told_seconds",                                            \
-      "from a change of an upstream at the node that heard it to here")       \
-    X(SYNC, "storage_sync_seconds", "one stored change, with its syncs")
+      "from a registration's HTTP header to its response")                    \
+    X(CHANGE_LATENCY, "change_told_seconds",                                  \
+      "delay of an upstream's change from the node that received it")         \
+    X(SYNC, "storage_sync_seconds",                                           \
+      "write of one change to the store, including fsync")
 
-/** Index of a histogram. */
 enum histogram_id {
 #define X(id, name, help) HISTOGRAM_##id,
     HISTOGRAM_TABLE(X)
@@ -37,16 +35,18 @@
         HISTOGRAM_COUNT
 };
 
-/** A set of histograms, all empty at first. */
+/** A set of histograms; zero-initialized. */
 struct histograms {
-    uint64_t buckets[HISTOGRAM_COUNT][HISTOGRAM_BUCKETS + 1]; /**< durations */
-    uint64_t sum_us[HISTOGRAM_COUNT]; /**< of all durations */
+    uint64_t buckets[HISTOGRAM_COUNT][HISTOGRAM_BUCKETS +
+                                      1]; /**< counts; the last one is +Inf */
+    uint64_t sum_us[HISTOGRAM_COUNT];     /**< sum of durations */
 };
 
-/** Adds one duration, in microseconds; safe from any thread. */
+/** Observes one duration in microseconds; thread-safe. */
 void histogram_add(struct histograms *set, enum histogram_id id, uint64_t us);
 
-/** Writes all as Prometheus text; returns the bytes written. */
+/** Writes all histograms in Prometheus text format; returns the bytes
+ * written. */
 size_t histogram_print(const struct histograms *set, char *out, size_t size);
 
 #endif
--- a/log.h
+++ b/log.h
@@ -1,45 +1,48 @@
 /**
  * @file log.h
- * Event log: one line of key=value pairs an event, on standard error or in a
- * file that log_reopen() opens anew (log rotation by SIGHUP). Owns that file
- * and the rate limits; a line may be written from any thread.
+ * Thread-safe structured log in logfmt (key=value pairs), one line per event,
+ * with a rate limit per event name. Owns the log file, which log_reopen()
+ * reopens after rotation.
  */
 #ifndef RIDGERIDGE_LOG_H
 #define RIDGERIDGE_LOG_H
 
 #include <stdbool.h>
 
-/** Severity; a line below the level set is not written. */
+/** Severity; lines below the configured level are discarded. */
 enum log_level { LOG_DEBUG, LOG_INFO, LOG_WARN, LOG_ERROR };
 
-/** Their names in settings and lines, NULL at the end. */
-extern const char *const log_level_words[];
+/** Names of enum log_level, NULL-terminated. */
+extern const char *const log_level_names[];
 
-/** Most lines of one event name written in one second. */
+/** Lines per second and event name. */
 #define LOG_EVENT_BURST 20
 
-/** Name of standard output, as a path of log_open(). */
+/** Path that selects standard output in log_open(). */
 #define LOG_STDOUT "-"
 
 /**
- * Opens the log. `path` may be NULL for standard error, or LOG_STDOUT. A line
- * that a full pipe does not take at once is lost and counted, so that logging
- * never holds anything up.
+ * Opens the log.
+ * @param path a file; NULL or empty: standard error; LOG_STDOUT: standard
+ * output, set to non-blocking: a line that does not fit into a full pipe is
+ * dropped and counted
+ * @return false when the file cannot be opened
  */
 bool log_open(const char *path, const char *process, enum log_level level);
 
-/** Opens the file of log_open() again, after a rotation. */
+/** Reopens the log file; keeps the open one on failure. */
 void log_reopen(void);
 
 /**
- * Writes one event. `event` is a stable name; `format` yields key=value
- * pairs, where a value with a space is quoted by the caller. Lines past
- * LOG_EVENT_BURST a second are counted and the count is written later.
+ * Writes one event. Lines over LOG_EVENT_BURST are suppressed; the next line
+ * of the event has their number as held_back=.
+ * @param event name of the event, a string literal
+ * @param format key=value pairs; the caller quotes values with spaces
  */
 void log_event(enum log_level level, const char *event, const char *format,
                ...) __attribute__((format(printf, 3, 4)));
 
-/** Lines that a full pipe did not take. */
-unsigned long log_lost(void);
+/** Lines dropped because their write failed. */
+unsigned long log_lines_lost(void);
 
 #endif
--- a/node-egress.c
+++ b/node-egress.c
@@ -144,7 +144,7 @@
         }
         return false;
     case EGRESS_DUPLICATE:
-        counter_add(&node->counters, COUNTER_PACKETS_COPIES, 1);
+        counter_add(&node->counters, COUNTER_PACKETS_DUPLICATE, 1);
         return false;
     case EGRESS_QUEUE_FULL:
         report_unsent(node, head, first_length + second_length, false);
--- a/node-forward.c
+++ b/node-forward.c
@@ -63,7 +63,7 @@
     bytes = codec_encode(&msg);
     node_send_to_peer(node, relay, bytes->data, bytes->len);
     g_byte_array_unref(bytes);
-    counter_add(&node->counters, COUNTER_PACKETS_CARRIED, 1);
+    counter_add(&node->counters, COUNTER_PACKETS_RELAYED, 1);
     return true;
 }
 
--- a/node-http.c
+++ b/node-http.c
@@ -139,11 +139,11 @@
     enum MHD_Result result;
     size_t length;
 
-    node->counters.value[COUNTER_LOG_LINES_LOST] = log_lost();
+    node->counters.value[COUNTER_LOG_LINES_LOST] = log_lines_lost();
     length = counter_print(&node->counters, text, METRICS_MAX);
     length += histogram_print(&node->histograms, text + length,
                               METRICS_MAX - length);
-    length += page_print_process(text + length, METRICS_MAX - length);
+    length += page_print_process_metrics(text + length, METRICS_MAX - length);
     result = node_http_respond(request, MHD_HTTP_OK,
                                "text/plain; version=0.0.4", text, length);
     g_free(text);
--- a/node-operator.c
+++ b/node-operator.c
@@ -203,7 +203,7 @@
     else if (request->kind != REQUEST_READ_TABLE) {
         counter_add(&node->counters,
                     request->kind == REQUEST_SUBMIT_TABLE
-                        ? COUNTER_TABLES_TAKEN
+                        ? COUNTER_TABLES_ACKNOWLEDGED
                         : COUNTER_HALL_ORDERS,
                     1);
     }
--- a/node.c
+++ b/node.c
@@ -199,7 +199,7 @@
             &g_array_index(announced, struct upstream_learned, i);
         const struct upstream *u = upstream_by_id(&node->upstreams, t->id);
 
-        histogram_add(&node->histograms, HISTOGRAM_TOLD,
+        histogram_add(&node->histograms, HISTOGRAM_CHANGE_LATENCY,
                       (uint64_t)t->age_ms * 1000);
         if (u != NULL) {
             log_event(t->age_ms > ANNOUNCE_LATE_MS ? LOG_WARN : LOG_INFO,
--- a/page.c
+++ b/page.c
@@ -1,4 +1,4 @@
-/* Pages of the operators' HTTP, and values in JSON objects. */
+/* HTTP server of the entry and control roles, and members of JSON objects. */
 #include "page.h"
 
 #include <arpa/inet.h>
@@ -11,31 +11,32 @@
 #include "address.h"
 #include "library.h"
 
-#define COUNTERS_MAX 65536
+#define METRICS_MAX 65536 /* bytes of a metrics response */
 
-/* Opens HTTP. */
 enum status_kind
-page_open_http(struct _u_instance *http, const struct settings *settings,
-               const struct page_route *routes, size_t body_max, void *data,
-               struct status *st)
+page_start_http(struct _u_instance *http, const struct settings *settings,
+                const struct page_route *routes, size_t body_max, void *data,
+                struct status *st)
 {
     unsigned port = (unsigned)settings->http_port;
-    struct sockaddr_in at = {.sin_family = AF_INET,
-                             .sin_port = htons((uint16_t)port),
-                             .sin_addr.s_addr = htonl(settings->address)};
+    struct sockaddr_in listen_address = {.sin_family = AF_INET,
+                                         .sin_port = htons((uint16_t)port),
+                                         .sin_addr.s_addr =
+                                             htonl(settings->address)};
     const struct page_route *route = routes;
 
-    if (library_ulfius.init(http, port, &at, NULL) != U_OK) {
-        return status_set(st, STATUS_IO, "ulfius does not start");
+    if (library_ulfius.init(http, port, &listen_address, NULL) != U_OK) {
+        return status_set(st, STATUS_IO, "libulfius failed to initialize");
     }
     http->max_post_body_size = body_max;
     http->max_post_param_size = body_max;
     http->check_utf8 = 0;
     for (; route->path != NULL; route++) {
         (void)library_ulfius.add_endpoint(http, route->method, route->prefix,
-                                          route->path, 0, route->call, data);
+                                          route->path, 0, route->handler,
+                                          data);
     }
-    (void)library_ulfius.set_default_endpoint(http, route->call, data);
+    (void)library_ulfius.set_default_endpoint(http, route->handler, data);
     if (library_ulfius.start(http) != U_OK) {
         return status_set(st, STATUS_IO,
                           "cannot listen on http_port %u; free the port or "
@@ -45,9 +46,8 @@
     return STATUS_OK;
 }
 
-/* Answers with JSON. */
 void
-page_json(struct _u_response *response, json_object *doc)
+page_send_json(struct _u_response *response, json_object *doc)
 {
     const char *text = json_object_to_json_string(doc);
 
@@ -57,9 +57,8 @@
     json_object_put(doc);
 }
 
-/* Writes processor time and greatest memory of this process. */
 size_t
-page_print_process(char *out, size_t size)
+page_print_process_metrics(char *out, size_t size)
 {
     struct rusage usage;
     int n;
@@ -72,7 +71,7 @@
         "# HELP ridgeridge_processor_seconds_total processor time\n"
         "# TYPE ridgeridge_processor_seconds_total counter\n"
         "ridgeridge_processor_seconds_total %.3f\n"
-        "# HELP ridgeridge_memory_peak_bytes most memory resident\n"
+        "# HELP ridgeridge_memory_peak_bytes peak resident memory\n"
         "# TYPE ridgeridge_memory_peak_bytes gauge\n"
         "ridgeridge_memory_peak_bytes %ld\n",
         (double)(usage.ru_utime.tv_sec + usage.ru_stime.tv_sec) +
@@ -81,35 +80,32 @@
     return n > 0 && (size_t)n < size ? (size_t)n : 0;
 }
 
-/* Answers with counters. */
 void
-page_counters(struct _u_response *response, const struct counters *counters)
+page_send_metrics(struct _u_response *response,
+                  const struct counters *counters)
 {
-    char *text = g_malloc(COUNTERS_MAX);
-    size_t length = counter_print(counters, text, COUNTERS_MAX);
+    char *text = g_malloc(METRICS_MAX);
+    size_t length = counter_print(counters, text, METRICS_MAX);
 
-    length += page_print_process(text + length, COUNTERS_MAX - length);
+    length += page_print_process_metrics(text + length, METRICS_MAX - length);
     (void)library_ulfius.set_body(response, 200, text, length);
     (void)library_ulfius.map_put(response->map_header, "Content-Type",
                                  "text/plain; version=0.0.4");
     g_free(text);
 }
 
-/* Adds a number. */
 void
 page_add_number(json_object *doc, const char *key, uint64_t value)
 {
     json_object_object_add(doc, key, json_object_new_int64((int64_t)value));
 }
 
-/* Adds a string. */
 void
 page_add_text(json_object *doc, const char *key, const char *value)
 {
     json_object_object_add(doc, key, json_object_new_string(value));
 }
 
-/* Adds a number as hex digits. */
 void
 page_add_hex(json_object *doc, const char *key, uint64_t value)
 {
@@ -119,7 +115,6 @@
     page_add_text(doc, key, text);
 }
 
-/* Adds an address and port. */
 void
 page_add_endpoint(json_object *doc, const char *key, uint32_t address,
                   uint16_t port)
@@ -129,7 +124,6 @@
     page_add_text(doc, key, address_format(address, port, text));
 }
 
-/* Adds yes or no. */
 void
 page_add_bool(json_object *doc, const char *key, int value)
 {
--- a/ridgeridge.c
+++ b/ridgeridge.c
@@ -1,4 +1,4 @@
-/* The program: finds the command in the table, reads options, runs it. */
+/* Entry point: command lookup, option parsing (popt), help, completion. */
 #include <glib.h>
 #include <sodium.h>
 #include <stdio.h>
@@ -9,7 +9,7 @@
 
 #define VERSION "0.1.0"
 
-/* The table of commands, in the order that help shows. */
+/* In the order of the help text. */
 static const struct cmd *const commands[] = {
     &cmd_node,         &cmd_node_status,    &cmd_control,      &cmd_entry,
     &cmd_init_control, &cmd_check_settings, &cmd_check_bundle, &cmd_keygen,
@@ -17,15 +17,15 @@
     &cmd_explain,      &cmd_report,         &cmd_voters,       &cmd_reference,
 };
 
-/* One option and the bit of the commands that take it. */
+/* An option and its flag in struct cmd. */
 struct option_row {
-    unsigned takes;
+    unsigned flag;
     struct poptOption option;
 };
 
-#define OPTIONS_MAX 10
+#define OPTIONS_MAX 10 /* rows of list_options(), with --help and the end */
 
-/* Lists the options that a command takes. */
+/* Builds the popt table of a command. */
 static void
 list_options(const struct cmd *cmd, struct cmd_options *o,
              struct poptOption out[OPTIONS_MAX])
@@ -33,25 +33,24 @@
     const struct option_row rows[] = {
         {CMD_SETTINGS,
          {"settings", 's', POPT_ARG_STRING, &o->settings, 0,
-          "settings of this VM", "FILE"}},
+          "settings file of this VM", "FILE"}},
         {CMD_CREDENTIALS,
          {"credentials", 'c', POPT_ARG_STRING, &o->credentials, 0,
-          "the operator's file from keygen", "FILE"}},
+          "operator's credentials, from keygen", "FILE"}},
         {CMD_SUBMISSION,
          {"submission", 0, POPT_ARG_STRING, &o->submission, 0,
-          "id, the same when submitting again", "ID"}},
+          "idempotency key of the submission", "ID"}},
         {CMD_JSON,
-         {"json", 'j', POPT_ARG_NONE, &o->json, 0, "print JSON for programs",
-          NULL}},
+         {"json", 'j', POPT_ARG_NONE, &o->json, 0, "print JSON", NULL}},
         {CMD_VERIFY,
          {"verify", 0, POPT_ARG_NONE, &o->verify, 0,
-          "recompute the decisions and compare", NULL}},
+          "recompute the decisions and compare them", NULL}},
         {CMD_WATCH,
-         {"watch", 'w', POPT_ARG_NONE, &o->watch, 0,
-          "print again every second", NULL}},
+         {"watch", 'w', POPT_ARG_NONE, &o->watch, 0, "repeat every second",
+          NULL}},
         {CMD_PLOT,
          {"plot", 0, POPT_ARG_STRING, &o->plot, 0,
-          "write a gnuplot script that makes FILE.svg", "FILE"}},
+          "write a gnuplot script that draws FILE.svg", "FILE"}},
         {CMD_REMOVE,
          {"remove", 0, POPT_ARG_NONE, &o->remove, 0,
           "remove the voter instead of adding it", NULL}},
@@ -60,7 +59,7 @@
     size_t count = 0;
 
     for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-        if (cmd->takes & rows[i].takes) {
+        if (cmd->option_flags & rows[i].flag) {
             out[count++] = rows[i].option;
         }
     }
@@ -69,7 +68,6 @@
     out[count] = end;
 }
 
-/* Prints all commands. */
 static void
 print_help(FILE *out)
 {
@@ -88,9 +86,8 @@
                   "3 no answer or unconfirmed.\n");
 }
 
-/* Prints one command. */
 static void
-print_command(const struct cmd *cmd)
+print_command_help(const struct cmd *cmd)
 {
     struct cmd_options options;
     struct poptOption table[OPTIONS_MAX];
@@ -106,7 +103,7 @@
     }
 }
 
-/* Prints a completion script for bash, from the table. */
+/* Prints a completion script for bash. */
 static void
 print_completion(void)
 {
@@ -117,7 +114,6 @@
     (void)printf("\" ridgeridge\n");
 }
 
-/* Finds a command. */
 static const struct cmd *
 find_command(const char *name)
 {
@@ -129,9 +125,9 @@
     return NULL;
 }
 
-/* Says whether the operands are as many as the command takes. */
 static bool
-check_operands(const struct cmd *cmd, const char **args, struct status *st)
+check_operand_count(const struct cmd *cmd, const char **args,
+                    struct status *st)
 {
     int count = 0;
 
@@ -140,40 +136,42 @@
     }
     if (count < cmd->min_args || count > cmd->max_args) {
         (void)status_set(st, STATUS_BAD_INPUT,
-                         "%s takes: %s; see `ridgeridge %s --help`", cmd->name,
-                         cmd->args[0] ? cmd->args : "no argument", cmd->name);
+                         "wrong number of operands; %s takes: %s; see "
+                         "`ridgeridge %s --help`",
+                         cmd->name, cmd->args[0] ? cmd->args : "no operands",
+                         cmd->name);
         return false;
     }
     return true;
 }
 
-/* Reads the options of a command and runs it. */
+/* Parses the options of a command and runs it. */
 static void
 run_command(const struct cmd *cmd, int argc, const char **argv,
             struct status *st)
 {
-    static const char *const none[] = {NULL};
+    static const char *const no_operands[] = {NULL};
     struct cmd_options options = {0};
     struct poptOption table[OPTIONS_MAX];
     const char **args;
     poptContext context;
-    int code;
+    int popt_code;
 
     list_options(cmd, &options, table);
     context = poptGetContext("ridgeridge", argc, argv, table, 0);
-    code = poptGetNextOpt(context);
+    popt_code = poptGetNextOpt(context);
     args = poptGetArgs(context);
-    if (code == 'h') {
-        print_command(cmd);
+    if (popt_code == 'h') {
+        print_command_help(cmd);
     }
-    else if (code < -1) {
+    else if (popt_code < -1) {
         (void)status_set(
             st, STATUS_BAD_INPUT, "%s: %s; see `ridgeridge %s --help`",
-            poptBadOption(context, 0), poptStrerror(code), cmd->name);
+            poptBadOption(context, 0), poptStrerror(popt_code), cmd->name);
     }
-    else if (check_operands(cmd, args, st) &&
+    else if (check_operand_count(cmd, args, st) &&
              library_load(cmd->libraries, st) == STATUS_OK) {
-        (void)cmd->run(&options, args ? args : (const char **)none, st);
+        (void)cmd->run(&options, args ? args : (const char **)no_operands, st);
     }
     (void)poptFreeContext(context);
     g_free(options.settings);
@@ -182,40 +180,39 @@
     g_free(options.plot);
 }
 
-/* Loads the settings of a VM and opens its log. */
 enum status_kind
 cmd_load_role(const struct cmd_options *options, enum settings_role role,
               struct settings *settings, struct status *st)
 {
     if (options->settings == NULL) {
-        return status_set(st, STATUS_BAD_INPUT, "--settings is needed");
+        return status_set(st, STATUS_BAD_INPUT,
+                          "--settings is missing; name the settings file");
     }
     if (settings_load(options->settings, settings, st) != STATUS_OK) {
         return st->kind;
     }
     if (settings->role != (int)role) {
         return status_set(st, STATUS_BAD_INPUT,
-                          "%s: \"role\" is another one; start the command "
-                          "of that role or correct it",
+                          "%s: \"role\" is not the role of this command; run "
+                          "the command of that role or correct the settings",
                           options->settings);
     }
     if (!log_open(settings->log, settings->name,
                   (enum log_level)settings->log_level)) {
         return status_set(st, STATUS_IO,
-                          "%s: cannot be opened; correct \"log\"",
+                          "%s: cannot open the log file; correct \"log\"",
                           settings->log);
     }
     return STATUS_OK;
 }
 
-/* Loads settings and credentials for operators' commands. */
 enum status_kind
 cmd_load(const struct cmd_options *options, struct settings *settings,
          struct client_credentials *credentials, struct status *st)
 {
     if (options->settings == NULL || options->credentials == NULL) {
         return status_set(st, STATUS_BAD_INPUT,
-                          "--settings and --credentials are both needed");
+                          "--settings and --credentials are both required");
     }
     if (settings_load(options->settings, settings, st) != STATUS_OK) {
         return st->kind;
@@ -227,7 +224,6 @@
     return st->kind;
 }
 
-/* Runs the program. */
 int
 main(int argc, const char **argv)
 {
@@ -235,7 +231,7 @@
     const struct cmd *cmd;
 
     if (sodium_init() < 0) {
-        (void)fprintf(stderr, "ridgeridge: libsodium does not start\n");
+        (void)fprintf(stderr, "ridgeridge: libsodium failed to initialize\n");
         return 2;
     }
     if (argc < 2) {
@@ -257,7 +253,7 @@
     cmd = find_command(argv[1]);
     if (cmd == NULL) {
         (void)fprintf(stderr,
-                      "ridgeridge: \"%s\" is no command; see `ridgeridge "
+                      "ridgeridge: unknown command \"%s\"; see `ridgeridge "
                       "--help`\n",
                       argv[1]);
         return 2;
--- a/schema-scan.c
+++ b/schema-scan.c
@@ -1,138 +1,136 @@
-/*
- * Checks of the raw text before json-c reads it: size, NUL bytes, depth and
- * duplicate keys, none of which json-c reports. Owns no other rule.
- */
+/* Lexical checks of a JSON text before json-c parses it. */
 #include "schema-scan.h"
 
 #include <glib.h>
 #include <string.h>
 
-/* Where the scan stands. */
+/* State of the scanner. */
 struct scan {
     const char *text;                       /* the document */
-    size_t length;                          /* its bytes */
-    size_t at;                              /* next byte */
-    unsigned line;                          /* of `at`, from 1 */
-    int depth;                              /* open brackets */
-    bool object[SCHEMA_DEPTH_MAX + 1];      /* an object, not an array */
-    GHashTable *keys[SCHEMA_DEPTH_MAX + 1]; /* keys seen in each object */
+    size_t length;                          /* of `text` */
+    size_t offset;                          /* of the next byte */
+    unsigned line;                          /* of `offset`, from 1 */
+    int depth;                              /* nesting, 0: outside */
+    bool object[SCHEMA_DEPTH_MAX + 1];      /* by depth: object, not array */
+    GHashTable *keys[SCHEMA_DEPTH_MAX + 1]; /* by depth: keys so far */
     const char *source;                     /* for messages */
-    struct status *st;                      /* where a fault goes */
+    struct status *st;                      /* gets the error */
 };
 
-/* Skips one comment, when one begins here. */
+/* Skips a comment; false when there is none here. */
 static bool
-scan_comment(struct scan *scan)
+skip_comment(struct scan *scan)
 {
-    const char *text = scan->text + scan->at;
-    size_t left = scan->length - scan->at;
+    const char *text = scan->text + scan->offset;
+    size_t remaining = scan->length - scan->offset;
 
-    if (left < 2 || text[0] != '/') {
+    if (remaining < 2 || text[0] != '/') {
         return false;
     }
     if (text[1] == '/') {
-        while (scan->at < scan->length && scan->text[scan->at] != '\n') {
-            scan->at++;
+        while (scan->offset < scan->length &&
+               scan->text[scan->offset] != '\n') {
+            scan->offset++;
         }
         return true;
     }
     if (text[1] != '*') {
         return false;
     }
-    scan->at += 2;
-    while (scan->at + 1 < scan->length) {
-        if (scan->text[scan->at] == '\n') {
+    scan->offset += 2;
+    while (scan->offset + 1 < scan->length) {
+        if (scan->text[scan->offset] == '\n') {
             scan->line++;
         }
-        if (scan->text[scan->at] == '*' && scan->text[scan->at + 1] == '/') {
-            scan->at += 2;
+        if (scan->text[scan->offset] == '*' &&
+            scan->text[scan->offset + 1] == '/') {
+            scan->offset += 2;
             return true;
         }
-        scan->at++;
+        scan->offset++;
     }
-    scan->at = scan->length;
+    scan->offset = scan->length;
     return true;
 }
 
-/* Skips white space and comments. */
 static void
-scan_blank(struct scan *scan)
+skip_blank(struct scan *scan)
 {
-    while (scan->at < scan->length) {
-        char c = scan->text[scan->at];
+    while (scan->offset < scan->length) {
+        char c = scan->text[scan->offset];
 
         if (c == '\n') {
             scan->line++;
         }
         if (c == ' ' || c == '\t' || c == '\r' || c == '\n') {
-            scan->at++;
+            scan->offset++;
         }
-        else if (!scan_comment(scan)) {
+        else if (!skip_comment(scan)) {
             return;
         }
     }
 }
 
-/* Notes a key of the object that is open; refuses one seen before. */
+/* Adds a key of the innermost object; rejects duplicate and escaped keys. */
 static enum status_kind
-scan_key(struct scan *scan, const char *from, size_t length)
+scan_key(struct scan *scan, const char *start, size_t length)
 {
-    char *key = g_strndup(from, length);
+    char *key = g_strndup(start, length);
 
     if (strchr(key, '\\') != NULL) {
         g_free(key);
         return status_set(scan->st, STATUS_BAD_INPUT,
-                          "%s:%u: a key has a backslash; write keys in plain "
-                          "letters",
+                          "%s:%u: a key has a backslash; write it without "
+                          "escape sequences",
                           scan->source, scan->line);
     }
     if (!g_hash_table_add(scan->keys[scan->depth], key)) {
         return status_set(scan->st, STATUS_BAD_INPUT,
                           "%s:%u: \"%.*s\" stands twice in one object; remove "
                           "one of them",
-                          scan->source, scan->line, (int)length, from);
+                          scan->source, scan->line, (int)length, start);
     }
     return STATUS_OK;
 }
 
-/* Reads one string; a colon after it makes it a key. */
+/* Scans one string; a colon after it makes it a key. */
 static enum status_kind
 scan_string(struct scan *scan)
 {
-    size_t start = ++scan->at;
+    size_t start = ++scan->offset;
 
-    while (scan->at < scan->length && scan->text[scan->at] != '"') {
-        if (scan->text[scan->at] == '\n') {
+    while (scan->offset < scan->length && scan->text[scan->offset] != '"') {
+        if (scan->text[scan->offset] == '\n') {
             return status_set(scan->st, STATUS_BAD_INPUT,
                               "%s:%u: a string does not end on its line; "
-                              "close it with a quote",
+                              "close it with a double quote",
                               scan->source, scan->line);
         }
-        scan->at += scan->text[scan->at] == '\\' ? 2 : 1;
+        scan->offset += scan->text[scan->offset] == '\\' ? 2 : 1;
     }
-    if (scan->at >= scan->length) {
+    if (scan->offset >= scan->length) {
         return status_set(scan->st, STATUS_BAD_INPUT,
                           "%s:%u: the text ends inside a string; the file "
                           "may be truncated, write it again",
                           scan->source, scan->line);
     }
-    size_t end = scan->at++;
+    size_t end = scan->offset++;
 
-    scan_blank(scan);
+    skip_blank(scan);
     if (scan->depth > 0 && scan->object[scan->depth] &&
-        scan->at < scan->length && scan->text[scan->at] == ':') {
+        scan->offset < scan->length && scan->text[scan->offset] == ':') {
         return scan_key(scan, scan->text + start, end - start);
     }
     return STATUS_OK;
 }
 
-/* Opens an object or array. */
+/* Enters an object or array. */
 static enum status_kind
 scan_open(struct scan *scan, bool object)
 {
     if (scan->depth == SCHEMA_DEPTH_MAX) {
         return status_set(scan->st, STATUS_BAD_INPUT,
-                          "%s:%u: nested deeper than %d; flatten it",
+                          "%s:%u: nested deeper than %d levels; flatten it",
                           scan->source, scan->line, SCHEMA_DEPTH_MAX);
     }
     scan->depth++;
@@ -141,11 +139,11 @@
         scan->keys[scan->depth] =
             g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     }
-    scan->at++;
+    scan->offset++;
     return STATUS_OK;
 }
 
-/* Closes an object or array. */
+/* Leaves an object or array. */
 static void
 scan_close(struct scan *scan)
 {
@@ -153,18 +151,17 @@
         g_clear_pointer(&scan->keys[scan->depth], g_hash_table_destroy);
         scan->depth--;
     }
-    scan->at++;
+    scan->offset++;
 }
 
-/* Scans all of the text. */
 static enum status_kind
 scan_all(struct scan *scan)
 {
     enum status_kind kind = STATUS_OK;
 
-    for (scan_blank(scan); kind == STATUS_OK && scan->at < scan->length;
-         scan_blank(scan)) {
-        switch (scan->text[scan->at]) {
+    for (skip_blank(scan); kind == STATUS_OK && scan->offset < scan->length;
+         skip_blank(scan)) {
+        switch (scan->text[scan->offset]) {
         case '{':
             kind = scan_open(scan, true);
             break;
@@ -184,13 +181,12 @@
                               scan->source, scan->line);
             break;
         default:
-            scan->at++;
+            scan->offset++;
         }
     }
     return kind;
 }
 
-/* Checks the raw text. */
 enum status_kind
 schema_scan(const char *source, const char *text, size_t length,
             struct status *st)
@@ -201,20 +197,20 @@
 
     if (length > SCHEMA_TEXT_MAX) {
         return status_set(st, STATUS_BAD_INPUT,
-                          "%s: larger than %u bytes; split it", source,
+                          "%s: larger than %u bytes; make it smaller", source,
                           SCHEMA_TEXT_MAX);
     }
     if (memchr(text, '\0', length) != NULL) {
         return status_set(st, STATUS_BAD_INPUT,
-                          "%s: holds a NUL byte; save it as UTF-8 text",
+                          "%s: contains a NUL byte; save it as UTF-8 text",
                           source);
     }
     if (!g_utf8_validate(text, (gssize)length, NULL)) {
         return status_set(st, STATUS_BAD_INPUT,
                           "%s: not UTF-8; save it as UTF-8 text", source);
     }
-    scan_blank(&scan);
-    if (scan.at == length) {
+    skip_blank(&scan);
+    if (scan.offset == length) {
         return status_set(st, STATUS_BAD_INPUT,
                           "%s: empty; write one JSON object", source);
     }
--- a/schema-scan.h
+++ b/schema-scan.h
@@ -1,6 +1,6 @@
 /**
  * @file schema-scan.h
- * Checks of a document's raw text, before it is parsed.
+ * Checks of a JSON text that json-c does not make.
  */
 #ifndef RIDGERIDGE_SCHEMA_SCAN_H
 #define RIDGERIDGE_SCHEMA_SCAN_H
@@ -8,8 +8,9 @@
 #include "schema.h"
 
 /**
- * Refuses a text that is too large, not UTF-8, empty, nested too deep, or
- * has a key twice in one object.
+ * Rejects a text that is too large, empty, not UTF-8 or nested too deep, or
+ * that has NUL bytes, single quotes, multi-line strings, or duplicate or
+ * escaped keys.
  */
 enum status_kind schema_scan(const char *source, const char *text,
                              size_t length, struct status *st);
--- a/schema.c
+++ b/schema.c
@@ -1,7 +1,4 @@
-/*
- * Reads JSON into structs by tables of fields. Knows no key itself: the
- * tables are in settings.c and bundle.c.
- */
+/* Table-driven JSON parser. The schemas are in the modules that use them. */
 #include "schema.h"
 
 #include <arpa/inet.h>
@@ -17,52 +14,51 @@
 #include "address.h"
 #include "schema-scan.h"
 
-#define SCHEMA_PATH_MAX 128
+#define SCHEMA_PATH_MAX 128 /* bytes of a key path in messages */
 
-/* What all readers of one document share. */
-struct reader {
+/* Context of one document. */
+struct parser {
     const char *source;
     struct status *st;
 };
 
-static enum status_kind read_object(struct reader *r,
+static enum status_kind read_object(struct parser *parser,
                                     const struct schema *schema,
                                     json_object *value, const char *path,
                                     char *out);
 
-/* Refuses one value, naming its path and the field's help as remedy. */
+/* Sets an error with the key path, the fault, and the field's help as
+ * remedy. */
 static enum status_kind
-refuse(struct reader *r, const char *path, const struct schema_field *field,
-       const char *fault)
+reject(struct parser *parser, const char *path,
+       const struct schema_field *field, const char *fault)
 {
-    return status_set(r->st, STATUS_BAD_INPUT, "%s: \"%s\" %s; %s", r->source,
-                      path, fault, field->help);
+    return status_set(parser->st, STATUS_BAD_INPUT, "%s: \"%s\" %s; %s",
+                      parser->source, path, fault, field->help);
 }
 
-/* Reads a string into a char array. */
 static enum status_kind
-read_text(struct reader *r, const struct schema_field *field,
+read_text(struct parser *parser, const struct schema_field *field,
           json_object *value, const char *path, char *out)
 {
     size_t length;
 
     if (!json_object_is_type(value, json_type_string)) {
-        return refuse(r, path, field, "is not a string");
+        return reject(parser, path, field, "is not a string");
     }
     length = (size_t)json_object_get_string_len(value);
     if (length < field->min || length > field->max) {
-        return refuse(r, path, field, "is too short or too long");
+        return reject(parser, path, field, "is too short or too long");
     }
     if (strlen(json_object_get_string(value)) != length) {
-        return refuse(r, path, field, "holds a NUL");
+        return reject(parser, path, field, "contains a NUL character");
     }
     memcpy(out, json_object_get_string(value), length + 1);
     return STATUS_OK;
 }
 
-/* Reads an integer. */
 static enum status_kind
-read_uint(struct reader *r, const struct schema_field *field,
+read_uint(struct parser *parser, const struct schema_field *field,
           json_object *value, const char *path, char *out)
 {
     int64_t number;
@@ -70,7 +66,7 @@
     char fault[96];
 
     if (!json_object_is_type(value, json_type_int)) {
-        return refuse(r, path, field, "is not a whole number");
+        return reject(parser, path, field, "is not a whole number");
     }
     number = json_object_get_int64(value);
     if (number < 0 || (uint64_t)number < field->min ||
@@ -78,16 +74,16 @@
         (void)snprintf(fault, sizeof(fault),
                        "is out of range %" PRIu64 " to %" PRIu64, field->min,
                        field->max);
-        return refuse(r, path, field, fault);
+        return reject(parser, path, field, fault);
     }
     stored = (uint64_t)number;
     memcpy(out, &stored, sizeof(stored));
     return STATUS_OK;
 }
 
-/* Reads a decimal number as thousandths: seconds as ms, Mbit/s as kbit/s. */
+/* Parses a decimal into thousandths: seconds into ms, Mbit/s into kbit/s. */
 static enum status_kind
-read_decimal(struct reader *r, const struct schema_field *field,
+read_decimal(struct parser *parser, const struct schema_field *field,
              json_object *value, const char *path, char *out)
 {
     double decimal;
@@ -95,38 +91,37 @@
 
     if (!json_object_is_type(value, json_type_int) &&
         !json_object_is_type(value, json_type_double)) {
-        return refuse(r, path, field, "is not a number");
+        return reject(parser, path, field, "is not a number");
     }
     decimal = json_object_get_double(value);
     if (!(decimal >= 0.0 && decimal <= (double)field->max / 1000.0)) {
-        return refuse(r, path, field, "is out of range");
+        return reject(parser, path, field, "is out of range");
     }
     stored = (uint64_t)(decimal * 1000.0 + 0.5);
     if (stored < field->min) {
-        return refuse(r, path, field, "is too small");
+        return reject(parser, path, field, "is too small");
     }
     memcpy(out, &stored, sizeof(stored));
     return STATUS_OK;
 }
 
-/* Reads an address and port. */
 static enum status_kind
-read_endpoint(struct reader *r, const struct schema_field *field,
+read_endpoint(struct parser *parser, const struct schema_field *field,
               json_object *value, const char *path, char *out)
 {
-    struct schema_endpoint at;
+    struct schema_endpoint endpoint;
 
     if (!json_object_is_type(value, json_type_string) ||
-        !address_parse(json_object_get_string(value), &at.address, &at.port)) {
-        return refuse(r, path, field, "is not an IPv4 address and port");
+        !address_parse(json_object_get_string(value), &endpoint.address,
+                       &endpoint.port)) {
+        return reject(parser, path, field, "is not an IPv4 address and port");
     }
-    memcpy(out, &at, sizeof(at));
+    memcpy(out, &endpoint, sizeof(endpoint));
     return STATUS_OK;
 }
 
-/* Reads a dotted quad. */
 static enum status_kind
-read_ipv4(struct reader *r, const struct schema_field *field,
+read_ipv4(struct parser *parser, const struct schema_field *field,
           json_object *value, const char *path, char *out)
 {
     struct in_addr address;
@@ -134,64 +129,64 @@
 
     if (!json_object_is_type(value, json_type_string) ||
         inet_pton(AF_INET, json_object_get_string(value), &address) != 1) {
-        return refuse(r, path, field, "is not an IPv4 address");
+        return reject(parser, path, field, "is not an IPv4 address");
     }
     host = ntohl(address.s_addr);
     memcpy(out, &host, sizeof(host));
     return STATUS_OK;
 }
 
-/* Reads hex digits of an exact length. */
+/* Parses exactly 2 * max hex digits. */
 static enum status_kind
-read_hex(struct reader *r, const struct schema_field *field,
+read_hex(struct parser *parser, const struct schema_field *field,
          json_object *value, const char *path, char *out)
 {
     size_t length = 0;
     const char *text;
 
     if (!json_object_is_type(value, json_type_string)) {
-        return refuse(r, path, field, "is not a string");
+        return reject(parser, path, field, "is not a string");
     }
     text = json_object_get_string(value);
     if (strlen(text) != 2 * field->max ||
         sodium_hex2bin((unsigned char *)out, field->max, text, strlen(text),
                        NULL, &length, NULL) != 0 ||
         length != field->max) {
-        return refuse(r, path, field, "has the wrong number of hex digits");
+        return reject(parser, path, field,
+                      "has the wrong number of hex digits");
     }
     return STATUS_OK;
 }
 
-/* Reads one of a set of words. */
 static enum status_kind
-read_word(struct reader *r, const struct schema_field *field,
+read_enum(struct parser *parser, const struct schema_field *field,
           json_object *value, const char *path, char *out)
 {
     if (json_object_is_type(value, json_type_string)) {
-        for (int i = 0; field->words[i] != NULL; i++) {
-            if (strcmp(field->words[i], json_object_get_string(value)) == 0) {
+        for (int i = 0; field->names[i] != NULL; i++) {
+            if (strcmp(field->names[i], json_object_get_string(value)) == 0) {
                 memcpy(out, &i, sizeof(i));
                 return STATUS_OK;
             }
         }
     }
-    return refuse(r, path, field, "is none of the allowed words");
+    return reject(parser, path, field, "is none of the allowed words");
 }
 
-/* Reads an array of objects into a new block. */
+/* Parses an array of objects into allocated memory. */
 static enum status_kind
-read_list(struct reader *r, const struct schema_field *field,
+read_list(struct parser *parser, const struct schema_field *field,
           json_object *value, const char *path, char *out)
 {
     size_t count;
     char *items;
 
     if (!json_object_is_type(value, json_type_array)) {
-        return refuse(r, path, field, "is not a list");
+        return reject(parser, path, field, "is not a list");
     }
     count = json_object_array_length(value);
     if (count < field->min || count > field->max) {
-        return refuse(r, path, field, "has too few or too many items");
+        return reject(parser, path, field, "has too few or too many items");
     }
     items = g_malloc0_n(count ? count : 1, field->inner->size);
     memcpy(out, &items, sizeof(items));
@@ -200,69 +195,69 @@
         char inner[SCHEMA_PATH_MAX];
 
         (void)snprintf(inner, sizeof(inner), "%s[%zu]", path, i);
-        if (read_object(r, field->inner, json_object_array_get_idx(value, i),
-                        inner, items + i * field->inner->size) != STATUS_OK) {
-            return r->st->kind;
+        if (read_object(parser, field->inner,
+                        json_object_array_get_idx(value, i), inner,
+                        items + i * field->inner->size) != STATUS_OK) {
+            return parser->st->kind;
         }
     }
     return STATUS_OK;
 }
 
-/* Reads one value by its field's type. */
 static enum status_kind
-read_value(struct reader *r, const struct schema_field *field,
+read_value(struct parser *parser, const struct schema_field *field,
            json_object *value, const char *path, char *out)
 {
     switch (field->type) {
     case SCHEMA_TEXT:
-        return read_text(r, field, value, path, out);
+        return read_text(parser, field, value, path, out);
     case SCHEMA_SECONDS:
     case SCHEMA_RATE:
     case SCHEMA_DECIMAL:
-        return read_decimal(r, field, value, path, out);
+        return read_decimal(parser, field, value, path, out);
     case SCHEMA_ENDPOINT:
-        return read_endpoint(r, field, value, path, out);
+        return read_endpoint(parser, field, value, path, out);
     case SCHEMA_UINT:
-        return read_uint(r, field, value, path, out);
+        return read_uint(parser, field, value, path, out);
     case SCHEMA_IPV4:
-        return read_ipv4(r, field, value, path, out);
+        return read_ipv4(parser, field, value, path, out);
     case SCHEMA_HEX:
-        return read_hex(r, field, value, path, out);
-    case SCHEMA_WORD:
-        return read_word(r, field, value, path, out);
+        return read_hex(parser, field, value, path, out);
+    case SCHEMA_ENUM:
+        return read_enum(parser, field, value, path, out);
     case SCHEMA_LIST:
-        return read_list(r, field, value, path, out);
+        return read_list(parser, field, value, path, out);
     case SCHEMA_OBJECT:
-        return read_object(r, field->inner, value, path, out);
+        return read_object(parser, field->inner, value, path, out);
     }
     return STATUS_BAD_INPUT;
 }
 
-/* Puts a field's default in place, and those of an object inside it. */
+/* Stores the default of a field, or of each field of a nested object. */
 static void
-put_default(const struct schema_field *field, char *out)
+store_default(const struct schema_field *field, char *out)
 {
-    int word = (int)field->value;
+    int index = (int)field->default_value;
 
     if (field->type == SCHEMA_OBJECT) {
         for (const struct schema_field *f = field->inner->fields;
              f->key != NULL; f++) {
-            put_default(f, out + f->offset);
+            store_default(f, out + f->offset);
         }
     }
     else if (field->type == SCHEMA_UINT || field->type == SCHEMA_SECONDS ||
              field->type == SCHEMA_RATE || field->type == SCHEMA_DECIMAL) {
-        memcpy(out, &field->value, sizeof(field->value));
+        memcpy(out, &field->default_value, sizeof(field->default_value));
     }
-    else if (field->type == SCHEMA_WORD) {
-        memcpy(out, &word, sizeof(word));
+    else if (field->type == SCHEMA_ENUM) {
+        memcpy(out, &index, sizeof(index));
     }
 }
 
-/* Refuses the first key of an object that the schema does not have. */
+/* Rejects unknown keys of an object. */
 static enum status_kind
-check_keys(struct reader *r, const struct schema *schema, json_object *value,
-           const char *path)
+check_keys(struct parser *parser, const struct schema *schema,
+           json_object *value, const char *path)
 {
     json_object_object_foreach(value, key, item)
     {
@@ -273,27 +268,26 @@
             field++;
         }
         if (field->key == NULL) {
-            return status_set(r->st, STATUS_BAD_INPUT,
+            return status_set(parser->st, STATUS_BAD_INPUT,
                               "%s: \"%s%s%.40s\" is not a known key; remove "
                               "it or correct its spelling",
-                              r->source, path, path[0] ? "." : "", key);
+                              parser->source, path, path[0] ? "." : "", key);
         }
     }
     return STATUS_OK;
 }
 
-/* Reads an object: unknown keys, then each field of the table. */
 static enum status_kind
-read_object(struct reader *r, const struct schema *schema, json_object *value,
-            const char *path, char *out)
+read_object(struct parser *parser, const struct schema *schema,
+            json_object *value, const char *path, char *out)
 {
     if (!json_object_is_type(value, json_type_object)) {
-        return status_set(r->st, STATUS_BAD_INPUT,
+        return status_set(parser->st, STATUS_BAD_INPUT,
                           "%s: \"%s\" is not an object; write { ... }",
-                          r->source, path);
+                          parser->source, path);
     }
-    if (check_keys(r, schema, value, path) != STATUS_OK) {
-        return r->st->kind;
+    if (check_keys(parser, schema, value, path) != STATUS_OK) {
+        return parser->st->kind;
     }
     for (const struct schema_field *f = schema->fields; f->key != NULL; f++) {
         char inner[SCHEMA_PATH_MAX];
@@ -303,20 +297,21 @@
                        path[0] ? "." : "", f->key);
         if (!json_object_object_get_ex(value, f->key, &item)) {
             if (f->required) {
-                return refuse(r, inner, f, "is missing");
+                return reject(parser, inner, f, "is missing");
             }
-            put_default(f, out + f->offset);
+            store_default(f, out + f->offset);
         }
-        else if (read_value(r, f, item, inner, out + f->offset) != STATUS_OK) {
-            return r->st->kind;
+        else if (read_value(parser, f, item, inner, out + f->offset) !=
+                 STATUS_OK) {
+            return parser->st->kind;
         }
     }
     return STATUS_OK;
 }
 
-/* Counts the line of an offset. */
+/* Line number of an offset, from 1. */
 static unsigned
-line_of(const char *text, size_t offset)
+line_number(const char *text, size_t offset)
 {
     unsigned line = 1;
 
@@ -326,7 +321,7 @@
     return line;
 }
 
-/* Parses the text; NULL with a message when it is not one JSON value. */
+/* Parses exactly one JSON value; NULL with a message otherwise. */
 static json_object *
 parse(const char *source, const char *text, size_t length, struct status *st)
 {
@@ -340,11 +335,11 @@
         (void)status_set(st, STATUS_BAD_INPUT,
                          "%s:%u: the text ends too early; the file may be "
                          "truncated, write it again",
-                         source, line_of(text, length));
+                         source, line_number(text, length));
     }
     else if (error != json_tokener_success) {
         (void)status_set(st, STATUS_BAD_INPUT, "%s:%u: %s; correct it there",
-                         source, line_of(text, end),
+                         source, line_number(text, end),
                          json_tokener_error_desc(error));
     }
     if (error != json_tokener_success) {
@@ -356,20 +351,19 @@
     }
     if (end < length && text[end] != '/') {
         (void)status_set(st, STATUS_BAD_INPUT,
-                         "%s:%u: more text after the value; remove it", source,
-                         line_of(text, end));
+                         "%s:%u: more text after the JSON value; remove it",
+                         source, line_number(text, end));
         json_object_put(value);
         return NULL;
     }
     return value;
 }
 
-/* Reads a whole document. */
 enum status_kind
 schema_read(const struct schema *schema, const char *source, const char *text,
             size_t length, void *out, struct status *st)
 {
-    struct reader r = {.source = source, .st = st};
+    struct parser parser = {.source = source, .st = st};
     json_object *value;
 
     memset(out, 0, schema->size);
@@ -382,7 +376,7 @@
     if (value == NULL) {
         return st->kind;
     }
-    (void)read_object(&r, schema, value, "", out);
+    (void)read_object(&parser, schema, value, "", out);
     json_object_put(value);
     if (st->kind != STATUS_OK) {
         schema_free(schema, out);
@@ -390,32 +384,30 @@
     return st->kind;
 }
 
-/* Frees the lists of a struct, and the lists inside them. */
 void
 schema_free(const struct schema *schema, void *out)
 {
     for (const struct schema_field *f = schema->fields; f->key != NULL; f++) {
-        char *at = (char *)out + f->offset;
+        char *member = (char *)out + f->offset;
         char *items;
         size_t count;
 
         if (f->type == SCHEMA_OBJECT) {
-            schema_free(f->inner, at);
+            schema_free(f->inner, member);
         }
         if (f->type != SCHEMA_LIST) {
             continue;
         }
-        memcpy(&items, at, sizeof(items));
-        memcpy(&count, at + sizeof(items), sizeof(count));
+        memcpy(&items, member, sizeof(items));
+        memcpy(&count, member + sizeof(items), sizeof(count));
         for (size_t i = 0; items != NULL && i < count; i++) {
             schema_free(f->inner, items + i * f->inner->size);
         }
         g_free(items);
-        memset(at, 0, sizeof(items) + sizeof(count));
+        memset(member, 0, sizeof(items) + sizeof(count));
     }
 }
 
-/* Reads a whole file. */
 char *
 schema_load(const char *path, size_t *length, struct status *st)
 {
@@ -427,7 +419,7 @@
         !S_ISREG(info.st_mode)) {
         (void)status_set(st, STATUS_BAD_INPUT,
                          "%s: cannot be read (%s); name a readable file", path,
-                         file ? "not a file" : g_strerror(errno));
+                         file ? "not a regular file" : g_strerror(errno));
         if (file != NULL) {
             (void)fclose(file);
         }
@@ -436,8 +428,8 @@
     text = g_malloc(SCHEMA_TEXT_MAX + 2);
     *length = fread(text, 1, SCHEMA_TEXT_MAX + 1, file);
     if (ferror(file)) {
-        (void)status_set(st, STATUS_BAD_INPUT, "%s: read failed; check disk",
-                         path);
+        (void)status_set(st, STATUS_BAD_INPUT,
+                         "%s: read error; check the disk", path);
         g_clear_pointer(&text, g_free);
     }
     else {
@@ -447,7 +439,6 @@
     return text;
 }
 
-/* Names a type on the reference page. */
 static const char *
 type_name(enum schema_type type)
 {
@@ -459,7 +450,7 @@
     case SCHEMA_SECONDS:
         return "seconds";
     case SCHEMA_RATE:
-        return "megabits a second";
+        return "megabits per second";
     case SCHEMA_DECIMAL:
         return "number";
     case SCHEMA_ENDPOINT:
@@ -468,7 +459,7 @@
         return "IPv4 address";
     case SCHEMA_HEX:
         return "hex digits";
-    case SCHEMA_WORD:
+    case SCHEMA_ENUM:
         return "word";
     case SCHEMA_LIST:
         return "list";
@@ -478,7 +469,6 @@
     return "";
 }
 
-/* Prints what a field takes when it is left out. */
 static void
 print_default(const struct schema_field *f)
 {
@@ -486,21 +476,21 @@
         (void)printf("required");
     }
     else if (f->type == SCHEMA_UINT) {
-        (void)printf("%" PRIu64, f->value);
+        (void)printf("%" PRIu64, f->default_value);
     }
     else if (f->type == SCHEMA_SECONDS || f->type == SCHEMA_RATE ||
              f->type == SCHEMA_DECIMAL) {
-        (void)printf("%g", (double)f->value / 1000.0);
+        (void)printf("%g", (double)f->default_value / 1000.0);
     }
-    else if (f->type == SCHEMA_WORD) {
-        (void)printf("`%s`", f->words[f->value]);
+    else if (f->type == SCHEMA_ENUM) {
+        (void)printf("`%s`", f->names[f->default_value]);
     }
     else {
         (void)printf("empty");
     }
 }
 
-/* Prints one table, then those of the objects inside. */
+/* Prints one table, then the tables of nested objects. */
 void
 schema_print(const struct schema *schema, bool nested)
 {
@@ -512,9 +502,9 @@
                      f->unit ? f->unit : "");
         print_default(f);
         (void)printf(" | ");
-        if (f->type == SCHEMA_WORD) {
-            for (int i = 0; f->words[i] != NULL; i++) {
-                (void)printf("%s`%s`", i ? ", " : "", f->words[i]);
+        if (f->type == SCHEMA_ENUM) {
+            for (int i = 0; f->names[i] != NULL; i++) {
+                (void)printf("%s`%s`", i ? ", " : "", f->names[i]);
             }
         }
         else if (f->max > 0) {
--- a/schema.h
+++ b/schema.h
@@ -1,8 +1,8 @@
 /**
  * @file schema.h
- * Reads JSON with comments into C structs by tables of fields. The same
- * tables drive the checks, the defaults and the reference pages. Size, depth,
- * duplicate keys and NUL bytes are checked before json-c sees the text.
+ * Table-driven parser of JSON with comments into C structs (json-c): types,
+ * bounds, defaults, error messages and reference pages come from one schema.
+ * Parsing is strict: unknown and duplicate keys are errors.
  */
 #ifndef RIDGERIDGE_SCHEMA_H
 #define RIDGERIDGE_SCHEMA_H
@@ -16,25 +16,22 @@
 #define SCHEMA_TEXT_MAX (4U * 1024 * 1024) /**< bytes of one document */
 #define SCHEMA_DEPTH_MAX 12                /**< nested objects and arrays */
 
-/** How a value is read. */
+/** Type of a JSON value and of its struct member. */
 enum schema_type {
     SCHEMA_TEXT,     /**< string into char[max + 1] */
-    SCHEMA_UINT,     /**< integer into uint64_t, within min and max */
-    SCHEMA_SECONDS,  /**< seconds, a fraction allowed, into uint64_t ms within
-                          min and max; the default is in ms as well */
-    SCHEMA_RATE,     /**< Mbit/s, a fraction allowed, into uint64_t kbit/s
-                          within min and max */
-    SCHEMA_DECIMAL,  /**< number, a fraction allowed, into uint64_t
-                          thousandths within min and max */
+    SCHEMA_UINT,     /**< integer into uint64_t */
+    SCHEMA_SECONDS,  /**< decimal seconds into uint64_t ms */
+    SCHEMA_RATE,     /**< decimal Mbit/s into uint64_t kbit/s */
+    SCHEMA_DECIMAL,  /**< decimal into uint64_t thousandths */
     SCHEMA_ENDPOINT, /**< "address:port" into struct schema_endpoint */
     SCHEMA_IPV4,     /**< dotted quad into uint32_t, host order */
     SCHEMA_HEX,      /**< 2 * max hex digits into unsigned char[max] */
-    SCHEMA_WORD,     /**< one of `words`, its index into int */
-    SCHEMA_LIST,     /**< array of objects: pointer, and a size_t after it */
-    SCHEMA_OBJECT    /**< an object, in place */
+    SCHEMA_ENUM,     /**< one of `names`, its index into int */
+    SCHEMA_LIST,     /**< array of objects: pointer, then size_t count */
+    SCHEMA_OBJECT    /**< nested struct */
 };
 
-/** An IPv4 address and a port. */
+/** IPv4 address and port. */
 struct schema_endpoint {
     uint32_t address; /**< host order */
     uint16_t port;    /**< TCP or UDP */
@@ -42,44 +39,48 @@
 
 struct schema;
 
-/** One key of an object. */
 struct schema_field {
-    const char *key;            /**< name in the document */
-    enum schema_type type;      /**< how it is read */
+    const char *key;            /**< JSON key */
+    enum schema_type type;      /**< JSON and C type */
     bool required;              /**< no default */
-    uint64_t min;               /**< least value, or least length */
-    uint64_t max;               /**< greatest value, or greatest length */
-    size_t offset;              /**< where it goes in the struct */
-    uint64_t value;             /**< default of UINT and WORD */
-    const char *const *words;   /**< WORD: names, NULL at the end */
-    const struct schema *inner; /**< LIST and OBJECT: what they hold */
+    uint64_t min;               /**< least value (as stored) or length */
+    uint64_t max;               /**< greatest value (as stored) or length */
+    size_t offset;              /**< offsetof() of the struct member */
+    uint64_t default_value;     /**< numbers: as stored; ENUM: index */
+    const char *const *names;   /**< ENUM: allowed strings, NULL-terminated */
+    const struct schema *inner; /**< LIST: of its items; OBJECT: of its keys */
     const char *unit;           /**< for the reference page; may be NULL */
-    const char *help;           /**< one sentence, and the remedy */
+    const char *help;           /**< remedy in errors; meaning in the page */
 };
 
-/** The keys of one kind of object. */
+/** Schema of an object. */
 struct schema {
-    const char *name;                  /**< for the reference page */
-    size_t size;                       /**< of the struct */
+    const char *name;                  /**< title in the reference page */
+    size_t size;                       /**< sizeof() of the struct */
     const struct schema_field *fields; /**< ends with a NULL key */
 };
 
 /**
- * Reads a document into `out` (of schema->size bytes, zeroed first).
- * @param source a file's name or "body", for messages
- * @return STATUS_OK, or STATUS_BAD_INPUT with source, line or key path
+ * Parses a document into `out` (schema->size bytes, zeroed first).
+ * @param source file name or "body", for messages
+ * @return STATUS_BAD_INPUT with the source and the line or key path on errors;
+ * `out` then holds no memory
  */
 enum status_kind schema_read(const struct schema *schema, const char *source,
                              const char *text, size_t length, void *out,
                              struct status *st);
 
-/** Frees the lists that schema_read() made. */
+/** Frees the lists of schema_read(). */
 void schema_free(const struct schema *schema, void *out);
 
-/** Reads a whole file, of at most SCHEMA_TEXT_MAX bytes; free the result. */
+/**
+ * Reads a regular file up to SCHEMA_TEXT_MAX + 1 bytes, so that schema_read()
+ * detects a larger one.
+ * @return NUL-terminated text to free with g_free(), or NULL
+ */
 char *schema_load(const char *path, size_t *length, struct status *st);
 
-/** Prints the reference page of a schema as Markdown. */
+/** Prints the reference page in Markdown; `nested` lowers its heading. */
 void schema_print(const struct schema *schema, bool nested);
 
 #endif
--- a/settings.c
+++ b/settings.c
@@ -1,4 +1,4 @@
-/* The table of settings keys, and the checks that span several keys. */
+/* Schema of the settings file, and checks across keys. */
 #include "settings.h"
 
 #include <glib.h>
@@ -9,7 +9,7 @@
 
 #define PORT_MAX 65535
 
-static const char *const role_words[] = {"entry", "control", NULL};
+static const char *const role_names[] = {"entry", "control", NULL};
 #define AT(field) offsetof(struct settings_control, field)
 static const struct schema_field control_fields[] = {
     {.key = "id",
@@ -18,7 +18,7 @@
      .min = 1,
      .max = 7,
      .offset = AT(id),
-     .help = "number the control VMs from 1 to 7"},
+     .help = "give each control VM its own id from 1 to 7"},
     {.key = "address",
      .type = SCHEMA_IPV4,
      .required = true,
@@ -28,20 +28,20 @@
      .type = SCHEMA_UINT,
      .min = 1,
      .max = PORT_MAX,
-     .value = 7401,
+     .default_value = 7401,
      .offset = AT(rpc_port),
      .help = "give the TCP port of its ONC RPC"},
     {.key = "http_port",
      .type = SCHEMA_UINT,
      .min = 1,
      .max = PORT_MAX,
-     .value = 7400,
+     .default_value = 7400,
      .offset = AT(http_port),
-     .help = "give the TCP port of its operators' interface"},
+     .help = "give the TCP port of its HTTP interface for operators"},
     {.key = "founder",
      .type = SCHEMA_UINT,
      .max = 1,
-     .value = 1,
+     .default_value = 1,
      .offset = AT(founder),
      .help = "give 0 for a control VM that `ridgeridge voters` adds later"},
     {.key = NULL},
@@ -97,7 +97,7 @@
      .type = SCHEMA_UINT,
      .min = 1,
      .max = PORT_MAX,
-     .value = 6081,
+     .default_value = 6081,
      .offset = AT(port),
      .help = "give the fabric's UDP port for Geneve"},
     {.key = NULL},
@@ -118,9 +118,9 @@
      .offset = AT(name),
      .help = "name this VM, for example \"entry-1\""},
     {.key = "role",
-     .type = SCHEMA_WORD,
+     .type = SCHEMA_ENUM,
      .required = true,
-     .words = role_words,
+     .names = role_names,
      .offset = AT(role),
      .help = "write \"entry\" or \"control\""},
     {.key = "hall",
@@ -141,75 +141,75 @@
      .min = 1,
      .max = SETTINGS_PATH_MAX,
      .offset = AT(data),
-     .help = "name the folder for this VM's state"},
+     .help = "name the directory for this VM's state"},
     {.key = "log",
      .type = SCHEMA_TEXT,
      .max = SETTINGS_PATH_MAX,
      .offset = AT(log),
      .help = "name the log file, or leave it out for standard error"},
     {.key = "log_level",
-     .type = SCHEMA_WORD,
-     .words = log_level_words,
-     .value = 1,
+     .type = SCHEMA_ENUM,
+     .names = log_level_names,
+     .default_value = 1,
      .offset = AT(log_level),
      .help = "write \"debug\", \"info\", \"warn\" or \"error\""},
     {.key = "id",
      .type = SCHEMA_UINT,
      .max = 7,
      .offset = AT(id),
-     .help = "on a control VM, give its own id of the list \"controls\""},
+     .help = "on a control VM, give its id in \"controls\""},
     {.key = "rpc_port",
      .type = SCHEMA_UINT,
      .min = 1,
      .max = PORT_MAX,
-     .value = 7401,
+     .default_value = 7401,
      .offset = AT(rpc_port),
      .help = "give the TCP port for ONC RPC"},
     {.key = "http_port",
      .type = SCHEMA_UINT,
      .min = 1,
      .max = PORT_MAX,
-     .value = 7400,
+     .default_value = 7400,
      .offset = AT(http_port),
      .help = "give the TCP port for HTTP"},
     {.key = "peer_port",
      .type = SCHEMA_UINT,
      .min = 1,
      .max = PORT_MAX,
-     .value = 7402,
+     .default_value = 7402,
      .offset = AT(peer_port),
      .help = "give the UDP port for other entries"},
     {.key = "fabric_port",
      .type = SCHEMA_UINT,
      .min = 1,
      .max = PORT_MAX,
-     .value = 6081,
+     .default_value = 6081,
      .offset = AT(fabric_port),
      .help = "give the UDP port for packets from the fabric"},
     {.key = "flow_capacity",
      .type = SCHEMA_UINT,
      .min = 1024,
      .max = 16777216,
-     .value = 1048576,
+     .default_value = 1048576,
      .offset = AT(flow_capacity),
      .unit = "records",
-     .help = "give at least twice the flows that one entry sees"},
+     .help = "give at least twice the concurrent flows of an entry"},
     {.key = "ring_size",
      .type = SCHEMA_UINT,
      .min = 16,
      .max = 1048576,
-     .value = 8192,
+     .default_value = 8192,
      .offset = AT(ring_size),
      .unit = "decisions",
-     .help = "give the number of decisions to keep for explain"},
+     .help = "give the number of recent decisions kept for explain"},
     {.key = "request_threads",
      .type = SCHEMA_UINT,
      .min = 1,
      .max = 4096,
-     .value = 256,
+     .default_value = 256,
      .offset = AT(request_threads),
      .unit = "requests",
-     .help = "give the most requests that one entry holds at once"},
+     .help = "give the limit of concurrent requests at an entry"},
     {.key = "cluster_key",
      .type = SCHEMA_HEX,
      .required = true,
@@ -222,7 +222,7 @@
      .type = SCHEMA_OBJECT,
      .inner = &fabric_schema,
      .offset = AT(fabric),
-     .help = "give the address and port that packets leave to"},
+     .help = "give the fabric's address and port for packets"},
     {.key = "controls",
      .type = SCHEMA_LIST,
      .required = true,
@@ -244,19 +244,20 @@
                                        .size = sizeof(struct settings),
                                        .fields = settings_fields};
 
-/* Checks the list of control VMs. */
+/* Checks for unique ids and an odd number of founders. */
 static enum status_kind
-check_controls(const char *source, const struct settings *s, struct status *st)
+check_controls(const char *source, const struct settings *settings,
+               struct status *st)
 {
     size_t founders = 0;
 
-    for (size_t i = 0; i < s->control_count; i++) {
-        founders += s->controls[i].founder;
+    for (size_t i = 0; i < settings->control_count; i++) {
+        founders += settings->controls[i].founder;
         for (size_t j = 0; j < i; j++) {
-            if (s->controls[i].id == s->controls[j].id) {
+            if (settings->controls[i].id == settings->controls[j].id) {
                 return status_set(st, STATUS_BAD_INPUT,
-                                  "%s: \"controls[%zu].id\" is used twice; "
-                                  "give each control VM its own",
+                                  "%s: \"controls[%zu].id\" is a duplicate; "
+                                  "give each control VM its own id",
                                   source, i);
             }
         }
@@ -270,17 +271,19 @@
     return STATUS_OK;
 }
 
-/* Checks that one VM's listening ports differ. */
+/* Checks for port conflicts on one VM. */
 static enum status_kind
-check_ports(const char *source, const struct settings *s, struct status *st)
+check_ports(const char *source, const struct settings *settings,
+            struct status *st)
 {
-    if (s->rpc_port == s->http_port) {
+    if (settings->rpc_port == settings->http_port) {
         return status_set(st, STATUS_BAD_INPUT,
                           "%s: \"rpc_port\" equals \"http_port\"; give them "
                           "different TCP ports",
                           source);
     }
-    if (s->role == ROLE_ENTRY && s->peer_port == s->fabric_port) {
+    if (settings->role == ROLE_ENTRY &&
+        settings->peer_port == settings->fabric_port) {
         return status_set(st, STATUS_BAD_INPUT,
                           "%s: \"peer_port\" equals \"fabric_port\"; give "
                           "them different UDP ports",
@@ -289,30 +292,32 @@
     return STATUS_OK;
 }
 
-/* Checks what one key alone cannot show. */
+/* Checks across keys. */
 static enum status_kind
-check_settings(const char *source, const struct settings *s, struct status *st)
+check_settings(const char *source, const struct settings *settings,
+               struct status *st)
 {
-    if (check_controls(source, s, st) != STATUS_OK ||
-        check_ports(source, s, st) != STATUS_OK) {
+    if (check_controls(source, settings, st) != STATUS_OK ||
+        check_ports(source, settings, st) != STATUS_OK) {
         return st->kind;
     }
-    if (s->role == ROLE_CONTROL && settings_find_control(s, s->id) == NULL) {
+    if (settings->role == ROLE_CONTROL &&
+        settings_find_control(settings, settings->id) == NULL) {
         return status_set(st, STATUS_BAD_INPUT,
                           "%s: \"id\" is not in \"controls\"; give this "
-                          "VM's own number",
+                          "VM's id",
                           source);
     }
-    if (s->role == ROLE_ENTRY && s->fabric.address == 0) {
-        return status_set(st, STATUS_BAD_INPUT,
-                          "%s: \"fabric\" is missing; give the address and "
-                          "port that packets leave to",
-                          source);
+    if (settings->role == ROLE_ENTRY && settings->fabric.address == 0) {
+        return status_set(
+            st, STATUS_BAD_INPUT,
+            "%s: \"fabric\" is missing; give the fabric's address and port "
+            "for packets",
+            source);
     }
     return STATUS_OK;
 }
 
-/* Reads settings from text. */
 enum status_kind
 settings_read(const char *source, const char *text, size_t length,
               struct settings *out, struct status *st)
@@ -327,7 +332,6 @@
     return st->kind;
 }
 
-/* Reads a settings file. */
 enum status_kind
 settings_load(const char *path, struct settings *out, struct status *st)
 {
@@ -343,14 +347,12 @@
     return st->kind;
 }
 
-/* Frees the lists. */
 void
 settings_free(struct settings *settings)
 {
     schema_free(&settings_schema, settings);
 }
 
-/* Finds a control VM. */
 const struct settings_control *
 settings_find_control(const struct settings *settings, uint64_t id)
 {
@@ -362,7 +364,6 @@
     return NULL;
 }
 
-/* Finds an operator. */
 const struct settings_operator *
 settings_find_operator(const struct settings *settings, const char *name)
 {
