--- a/Makefile
+++ b/Makefile
@@ -1,10 +1,10 @@
-# Builds ridgeridge, its stand-ins, its tests and its measurements.
+# Builds ridgeridge, its tests, benchmarks and simulators.
 #   make            the program and the tools
 #   make tests      the test programs
-#   make SANITIZE=1 the same under build-asan with ASan and UBSan
+#   make SANITIZE=1 either of them in build-asan with ASan and UBSan
 PACKAGES := libtirpc popt json-c libsodium libxxhash glib-2.0 zlib
-# Compiled against, and loaded only by the commands that need them: library.h.
-LOADED := libulfius libcurl libmicrohttpd
+# Opened by dlopen(3) in the commands that need them: library.h.
+DLOPEN := libulfius libcurl libmicrohttpd
 BUILD := build
 OPTIMIZE := -O2
 ifdef SANITIZE
@@ -15,26 +15,26 @@
 CFLAGS := -std=c11 -D_GNU_SOURCE -DU_DISABLE_JANSSON -g $(OPTIMIZE) \
 	-Wall -Wextra -Werror -Wshadow -Wstrict-prototypes -Wmissing-prototypes \
 	-Wno-cast-function-type -Wno-format-truncation -fPIE \
-	$(shell pkg-config --cflags $(PACKAGES) $(LOADED))
+	$(shell pkg-config --cflags $(PACKAGES) $(DLOPEN))
 LDLIBS := $(shell pkg-config --libs $(PACKAGES)) -lev -lm -lpthread
-# The stand-ins call these directly.
-LOADED_LIBS := $(shell pkg-config --libs $(LOADED))
-# Name of the shared object that a library's file for the linker stands for.
-object_of = $(shell objdump -p $$($(CC) -print-file-name=lib$(1).so) | \
+# The tools link these directly.
+DLOPEN_LIBS := $(shell pkg-config --libs $(DLOPEN))
+# SONAME of the library that the linker finds for -l$(1).
+soname_of = $(shell objdump -p $$($(CC) -print-file-name=lib$(1).so) | \
 	sed -n 's/^ *SONAME *//p')
 GENERATED_CFLAGS := -Wno-unused-variable -Wno-error -Wno-missing-prototypes
 
 SOURCES := $(wildcard *.c platform/*.c)
-# Everything but main() is shared with the tests and the tools.
-SHARED := $(filter-out ridgeridge.c,$(SOURCES))
-OBJECTS := $(SHARED:%.c=$(BUILD)/%.o) $(BUILD)/generated/wire_xdr.o
+# Everything but main(), also linked into the tests and the tools.
+LIB_SOURCES := $(filter-out ridgeridge.c,$(SOURCES))
+OBJECTS := $(LIB_SOURCES:%.c=$(BUILD)/%.o) $(BUILD)/generated/wire_xdr.o
 TOOLS := $(patsubst tools/%.c,$(BUILD)/%,$(wildcard tools/*.c))
-# The simulated-time driver and the loads over it, for tests and bench.
-LOAD := $(patsubst %.c,$(BUILD)/%.o,$(filter-out tests/test-%,$(wildcard tests/*.c)))
+# The discrete-event simulators and workloads of tests and benchmarks.
+SIMULATOR := $(patsubst %.c,$(BUILD)/%.o,$(filter-out tests/test-%,$(wildcard tests/*.c)))
 TESTS := $(patsubst tests/%.c,$(BUILD)/%,$(wildcard tests/test-*.c))
 
-# What may leave a safeguard out, built once more for the tests: fault.h.
-FAULTY := $(patsubst %.c,$(BUILD)/faulty/%.o,$(shell grep -l '"fault.h"' *.c))
+# Sources with the switches of fault.h, compiled again for the tests.
+FAULT_OBJECTS := $(patsubst %.c,$(BUILD)/faulty/%.o,$(shell grep -l '"fault.h"' *.c))
 
 SOAK := $(patsubst %.c,$(BUILD)/%.o,$(wildcard tools/soak/*.c platform/standin/*.c))
 
@@ -42,7 +42,7 @@
 
 tests: $(TESTS)
 
-# The program alone, as deployments build it.
+# The program without the tools.
 program: $(BUILD)/ridgeridge
 
 $(BUILD)/ridgeridge: $(BUILD)/ridgeridge.o $(OBJECTS)
@@ -53,22 +53,22 @@
 	@ar rcs $@ $^
 
 $(BUILD)/soak: $(SOAK) $(BUILD)/lib.a
-	@$(CC) $(OPTIMIZE) -pie -o $@ $^ $(LOADED_LIBS) $(LDLIBS)
+	@$(CC) $(OPTIMIZE) -pie -o $@ $^ $(DLOPEN_LIBS) $(LDLIBS)
 
-$(BUILD)/%: $(BUILD)/tools/%.o $(LOAD) $(BUILD)/lib.a
-	@$(CC) $(OPTIMIZE) -pie -o $@ $^ $(LOADED_LIBS) $(LDLIBS)
+$(BUILD)/%: $(BUILD)/tools/%.o $(SIMULATOR) $(BUILD)/lib.a
+	@$(CC) $(OPTIMIZE) -pie -o $@ $^ $(DLOPEN_LIBS) $(LDLIBS)
 
-# Ways of choosing that only trials have: fault.h.
-$(BUILD)/bench-steer: $(BUILD)/tools/bench-steer.o $(LOAD) $(FAULTY) $(BUILD)/lib.a
-	@$(CC) $(OPTIMIZE) -pie -o $@ $^ $(LOADED_LIBS) $(LDLIBS)
+# Linked with the switches of fault.h.
+$(BUILD)/bench-steer: $(BUILD)/tools/bench-steer.o $(SIMULATOR) $(FAULT_OBJECTS) $(BUILD)/lib.a
+	@$(CC) $(OPTIMIZE) -pie -o $@ $^ $(DLOPEN_LIBS) $(LDLIBS)
 
-$(BUILD)/test-%: $(BUILD)/tests/test-%.o $(LOAD) $(FAULTY) $(BUILD)/lib.a
+$(BUILD)/test-%: $(BUILD)/tests/test-%.o $(SIMULATOR) $(FAULT_OBJECTS) $(BUILD)/lib.a
 	@$(CC) $(OPTIMIZE) -pie -o $@ $^ $(LDLIBS)
 
 $(BUILD)/library.o: CFLAGS += \
-	-DLIBRARY_ULFIUS_OBJECT='"$(call object_of,ulfius)"' \
-	-DLIBRARY_CURL_OBJECT='"$(call object_of,curl)"' \
-	-DLIBRARY_MICROHTTPD_OBJECT='"$(call object_of,microhttpd)"'
+	-DLIBRARY_ULFIUS_OBJECT='"$(call soname_of,ulfius)"' \
+	-DLIBRARY_CURL_OBJECT='"$(call soname_of,curl)"' \
+	-DLIBRARY_MICROHTTPD_OBJECT='"$(call soname_of,microhttpd)"'
 
 $(BUILD)/generated/%.o: generated/%.c
 	@mkdir -p $(dir $@)
@@ -84,7 +84,7 @@
 	@mkdir -p $(dir $@)
 	@$(CC) $(CFLAGS) -I. -Itests -MMD -c -o $@ $<
 
-# The fuzzing target, by clang; see tests/fuzz-input.c.
+# libFuzzer target, built by clang: tests/fuzz-input.c.
 fuzz:
 	@mkdir -p build-fuzz/found
 	@$(MAKE) --no-print-directory BUILD=build-fuzz CC=clang \
@@ -106,6 +106,6 @@
 	rm -rf build build-asan build-fuzz
 
 .PHONY: all tests program fuzz install clean
-.SECONDARY: $(LOAD) $(FAULTY)
+.SECONDARY: $(SIMULATOR) $(FAULT_OBJECTS)
 .PRECIOUS: $(BUILD)/tests/%.o $(BUILD)/tools/%.o
 -include $(wildcard $(BUILD)/*.d $(BUILD)/*/*.d $(BUILD)/*/*/*.d)
--- a/tools/bench-capacity.c
+++ b/tools/bench-capacity.c
@@ -1,6 +1,7 @@
 /*
- * Measures the slopes that docs/CAPACITY.md is worked out from, and prints
- * them as a Markdown table. One run, one machine; numbers are for ratios.
+ * Measures processor time, memory and network bytes against flows, bundle size
+ * and members, and prints a Markdown table for docs/CAPACITY.md.
+ * Values are comparable within one run only.
  *
  * usage: bench-capacity
  */
@@ -22,7 +23,6 @@
 
 static struct counters counters;
 
-/* Nanoseconds of processor time. */
 static double
 cpu_ns(void)
 {
@@ -32,9 +32,9 @@
     return (double)now.tv_sec * 1e9 + (double)now.tv_nsec;
 }
 
-/* Prints a row: what, at which size, median, least and most of the rounds. */
+/* Prints the median, minimum and maximum of the rounds. */
 static void
-row(const char *what, const char *size, double *values, const char *unit)
+print_row(const char *what, const char *size, double *values, const char *unit)
 {
     median_sort(values, ROUNDS);
     (void)printf("| %s | %s | %.1f | %.1f to %.1f | %s |\n", what, size,
@@ -42,16 +42,17 @@
     (void)fflush(stdout);
 }
 
-/* Prints a row of one exact number. */
+/* Prints a row of a deterministic value. */
 static void
-row_exact(const char *what, const char *size, double value, const char *unit)
+print_exact_row(const char *what, const char *size, double value,
+                const char *unit)
 {
     (void)printf("| %s | %s | %.1f | exact | %s |\n", what, size, value, unit);
 }
 
-/* Writes a bundle of many services and upstreams. */
+/* Returns a bundle with many services and upstreams; free with g_free(). */
 static char *
-big_bundle(unsigned services, unsigned upstreams, uint64_t version)
+make_bundle(unsigned services, unsigned upstreams, uint64_t version)
 {
     GString *out = g_string_new("");
     unsigned host = 0;
@@ -81,8 +82,8 @@
     return g_string_free(out, FALSE);
 }
 
-/* Time and memory of one steering decision, against the flows held; with a
- * batch, its places in the table are fetched early, as the shell does. */
+/* Time per steering decision and memory per flow. A batch above 0 changes
+ * the label of the row only. */
 static void
 measure_steering(size_t flows, size_t batch)
 {
@@ -107,31 +108,31 @@
     }
     packet.first = false;
     for (int r = 0; r < ROUNDS; r++) {
-        double began = cpu_ns();
+        double start_ns = cpu_ns();
         size_t n = 1000000;
 
         for (size_t i = 0; i < n; i++) {
             packet.hash = hash_pair(HASH_FLOW, (i * 7919) % flows, 1) | 1;
             flow_steer(flow, 2000, 0, &packet, &verdict);
         }
-        values[r] = (cpu_ns() - began) / (double)n;
+        values[r] = (cpu_ns() - start_ns) / (double)n;
     }
     (void)snprintf(size, sizeof(size), "%zu flows", flows);
-    row(batch > 0 ? "steering a packet, fetched a batch early, 2 hashes"
-                  : "steering a packet, its hash included",
-        size, values, "ns");
-    row_exact("memory of an entry's steering", size,
-              (double)flow_memory(flow) / (double)flows, "bytes a flow");
+    print_row(batch > 0 ? "steering a packet, fetched a batch early, 2 hashes"
+                        : "steering a packet, its hash included",
+              size, values, "ns");
+    print_exact_row("memory of an entry's steering", size,
+                    (double)flow_memory(flow) / (double)flows, "bytes a flow");
     bundle_free(&bundle);
     g_free(text);
     flow_free(flow);
 }
 
-/* Reading and applying a whole bundle. */
+/* Time to parse and to apply a bundle, and the memory of its tables. */
 static void
 measure_bundle(unsigned services, unsigned upstreams)
 {
-    char *text = big_bundle(services, upstreams, 1);
+    char *text = make_bundle(services, upstreams, 1);
     double read[ROUNDS];
     double apply[ROUNDS];
     double memory = 0;
@@ -143,30 +144,31 @@
             .self = 1, .capacity = 1024, .counters = &counters};
         struct flow *flow = flow_new(&options);
         struct bundle bundle;
-        double began = cpu_ns();
+        double start_ns = cpu_ns();
 
         if (bundle_read("b", text, strlen(text), &bundle, &st) != STATUS_OK) {
             (void)fprintf(stderr, "%s\n", st.message);
             exit(1);
         }
-        read[r] = (cpu_ns() - began) / 1e6;
-        began = cpu_ns();
+        read[r] = (cpu_ns() - start_ns) / 1e6;
+        start_ns = cpu_ns();
         (void)flow_apply(flow, 1, &bundle, NULL, FLOW_STEP_SETTLED);
-        apply[r] = (cpu_ns() - began) / 1e6;
+        apply[r] = (cpu_ns() - start_ns) / 1e6;
         memory = (double)flow_memory(flow) / 1e6;
         bundle_free(&bundle);
         flow_free(flow);
     }
     (void)snprintf(size, sizeof(size), "%u hosts, %u addresses", upstreams,
                    services);
-    row("reading and checking a bundle", size, read, "ms");
-    row("building its tables", size, apply, "ms");
-    row_exact("tables and handles in memory", size, memory, "MB");
-    row_exact("text of the bundle", size, (double)strlen(text) / 1e3, "KB");
+    print_row("reading and checking a bundle", size, read, "ms");
+    print_row("building its tables", size, apply, "ms");
+    print_exact_row("tables and handles in memory", size, memory, "MB");
+    print_exact_row("text of the bundle", size, (double)strlen(text) / 1e3,
+                    "KB");
     g_free(text);
 }
 
-/* Ranking keepers, against the members. */
+/* Time to rank the members as keepers of a flow. */
 static void
 measure_keepers(size_t count)
 {
@@ -182,21 +184,21 @@
     }
     member_set_assign(&set, 1, members, count);
     for (int r = 0; r < ROUNDS; r++) {
-        double began = cpu_ns();
+        double start_ns = cpu_ns();
         uint64_t n = 2000000 / count;
 
         for (uint64_t key = 0; key < n; key++) {
             (void)member_keepers(&set, key, MEMBER_KEEPERS, keepers);
         }
-        values[r] = (cpu_ns() - began) / (double)n;
+        values[r] = (cpu_ns() - start_ns) / (double)n;
     }
     (void)snprintf(size, sizeof(size), "%zu entries", count);
-    row("ranking a flow's keepers", size, values, "ns");
+    print_row("ranking a flow's keepers", size, values, "ns");
     member_set_clear(&set);
     g_free(members);
 }
 
-/* Bytes of an epoch on the wire. */
+/* Bytes per member of an epoch on the wire. */
 static void
 measure_epoch(void)
 {
@@ -204,7 +206,7 @@
     wire_epoch epoch = {.number = 1, .members = {.members_val = members}};
     wire_epochs *epochs;
     wire_msg msg = {.kind = WIRE_EPOCHS};
-    guint few;
+    guint one_member_bytes;
     GByteArray *bytes;
 
     for (int i = 0; i < 64; i++) {
@@ -216,17 +218,17 @@
     epochs->epochs.epochs_val = &epoch;
     epoch.members.members_len = 1;
     bytes = codec_encode(&msg);
-    few = bytes->len;
+    one_member_bytes = bytes->len;
     g_byte_array_unref(bytes);
     epoch.members.members_len = 64;
     bytes = codec_encode(&msg);
-    row_exact("an epoch on the wire", "each member",
-              (double)(bytes->len - few) / 63.0, "bytes");
+    print_exact_row("an epoch on the wire", "each member",
+                    (double)(bytes->len - one_member_bytes) / 63.0, "bytes");
     g_byte_array_unref(bytes);
 }
 
-/* Control: bytes and processor time of entries and of the leader, idle and
- * with a bundle every 45 s, against the entries. */
+/* Network bytes and processor time of control and entries, idle and with a
+ * bundle every 45 s. */
 static void
 measure_control(int entries)
 {
@@ -239,15 +241,16 @@
                                   .flow_capacity = 1024};
     struct sim *sim = sim_new(&options);
     char *text = sim_bundle(1, 0, "ssssssssssssss", NULL, 3, false);
-    uint64_t before = 0;
-    uint64_t leader_before;
-    double began;
+    uint64_t bytes_before = 0;
+    uint64_t leader_bytes_before;
+    double start_ns;
     char size[64];
     int leader;
 
     sim_run(sim, sim->now + 3000);
     if (!sim_roll_out(sim, text, 20000)) {
-        (void)fprintf(stderr, "no roll-out with %d entries\n", entries);
+        (void)fprintf(stderr, "roll-out to %d entries not finished\n",
+                      entries);
         exit(1);
     }
     g_free(text);
@@ -255,45 +258,48 @@
     (void)snprintf(size, sizeof(size), "%d entries", entries);
     leader = sim_leader(sim);
     for (int n = 0; n < entries; n++) {
-        before += sim->nodes[sim_entry(sim, n)].control_bytes;
+        bytes_before += sim->nodes[sim_entry(sim, n)].control_bytes;
     }
-    leader_before = sim->nodes[leader].control_bytes;
-    began = cpu_ns();
+    leader_bytes_before = sim->nodes[leader].control_bytes;
+    start_ns = cpu_ns();
     sim_run(sim, sim->now + 60000);
-    row_exact("leader, idle: bytes sent", size,
-              (double)(sim->nodes[leader].control_bytes - leader_before) /
-                  60.0,
-              "bytes/s");
+    print_exact_row(
+        "leader, idle: bytes sent", size,
+        (double)(sim->nodes[leader].control_bytes - leader_bytes_before) /
+            60.0,
+        "bytes/s");
     for (int n = 0; n < entries; n++) {
-        before -= sim->nodes[sim_entry(sim, n)].control_bytes;
+        bytes_before -= sim->nodes[sim_entry(sim, n)].control_bytes;
     }
-    row_exact("entry, idle: bytes sent", size,
-              (double)(0 - before) / 60.0 / entries, "bytes/s");
-    row_exact("all cores, idle: processor time", size,
-              (cpu_ns() - began) / 60.0 / 1e3, "us/s");
-    leader_before = sim->nodes[leader].control_bytes;
+    print_exact_row("entry, idle: bytes sent", size,
+                    (double)(0 - bytes_before) / 60.0 / entries, "bytes/s");
+    print_exact_row("all cores, idle: processor time", size,
+                    (cpu_ns() - start_ns) / 60.0 / 1e3, "us/s");
+    leader_bytes_before = sim->nodes[leader].control_bytes;
     for (uint64_t v = 2; v <= 3; v++) {
         text =
             sim_bundle(v, v - 1, v % 2 ? "slssssssssssss" : "lsssssssssssss",
                        NULL, 3, false);
-        uint64_t from = sim->now;
+        uint64_t submitted_at = sim->now;
 
         (void)sim_roll_out(sim, text, 20000);
         if (v == 2) {
-            row_exact("acceptance to in force", size,
-                      (double)(sim->now - from), "ms, at most 100 too high");
+            print_exact_row("acceptance to in force", size,
+                            (double)(sim->now - submitted_at),
+                            "ms, at most 100 too high");
         }
         sim_run(sim, sim->now + 45000);
         g_free(text);
     }
-    row_exact("leader, a bundle each 45 s: bytes sent", size,
-              (double)(sim->nodes[leader].control_bytes - leader_before) /
-                  90.0,
-              "bytes/s");
+    print_exact_row(
+        "leader, a bundle each 45 s: bytes sent", size,
+        (double)(sim->nodes[leader].control_bytes - leader_bytes_before) /
+            90.0,
+        "bytes/s");
     sim_free(sim);
 }
 
-/* The gate's and a replica's decisions. */
+/* Time of the gate's slot decisions and of a replica's claims. */
 static void
 measure_requests(void)
 {
@@ -313,11 +319,11 @@
     for (int r = 0; r < ROUNDS; r++) {
         struct gate *gate = gate_new(1, 0);
         struct claim_table claims;
-        double began;
+        double start_ns;
 
         memset(&claims, 0, sizeof(claims));
         gate_set_upstreams(gate, 1, &service);
-        began = cpu_ns();
+        start_ns = cpu_ns();
         for (uint64_t i = 1; i <= 100000; i++) {
             wire_slot_ask ask = {
                 .service = 1, .token = i, .entry = 7, .budget_ms = 1000};
@@ -327,9 +333,9 @@
             gate_release(gate, 1000, &done);
             g_array_set_size(gate->replies, 0);
         }
-        gate_values[r] = (cpu_ns() - began) / 100000.0;
+        gate_values[r] = (cpu_ns() - start_ns) / 100000.0;
         claim_open(&claims, 1);
-        began = cpu_ns();
+        start_ns = cpu_ns();
         for (uint64_t i = 1; i <= 100000; i++) {
             wire_claim claim = {.token = i, .coordinator = 7};
             wire_claim_reply reply;
@@ -337,18 +343,17 @@
             memcpy(claim.key, &i, sizeof(i));
             claim_decide(&claims, 0, &claim, &reply);
         }
-        claim_values[r] = (cpu_ns() - began) / 100000.0;
+        claim_values[r] = (cpu_ns() - start_ns) / 100000.0;
         claim_close(&claims);
         gate_free(gate);
     }
-    row("gate: a slot asked for and given back", "14 upstreams", gate_values,
-        "ns");
-    row("replica: a key claimed", "100,000 keys", claim_values, "ns");
-    row_exact("replica: a key's record", "without a body",
-              sizeof(struct claim_record) + 48, "bytes");
+    print_row("gate: a slot asked for and given back", "14 upstreams",
+              gate_values, "ns");
+    print_row("replica: a key claimed", "100,000 keys", claim_values, "ns");
+    print_exact_row("replica: a key's record", "without a body",
+                    sizeof(struct claim_record) + 48, "bytes");
 }
 
-/* Prints all slopes. */
 int
 main(void)
 {
--- a/tools/bench-flow.c
+++ b/tools/bench-flow.c
@@ -1,6 +1,6 @@
 /*
- * Measures ways of steering flows on the same seeds and workload, in
- * simulated time over the core, and prints one table of medians.
+ * Compares steering algorithms on the same seeds and workload in simulated
+ * time, and prints a table of medians.
  *
  * usage: bench-flow [SEEDS [argoat|meals [SCENE|all [WAY|all]]]]
  */
@@ -12,8 +12,8 @@
 #include "flow-load.h"
 #include "median.h"
 
-/* Two letters more than the fourteen upstreams of both deployments. */
-#define ALL "ssssssssssssss"
+/* States of the 14 upstreams of both deployments: all serving. */
+#define ALL_SERVING "ssssssssssssss"
 
 static const struct flow_scene scenes[] = {
     {.name = "calm", .length_ms = 40000},
@@ -21,14 +21,14 @@
      .acts = {{2000, ACT_STATES, 0, "slssssssssssss"}},
      .length_ms = 40000},
     {.name = "join",
-     .acts = {{2000, ACT_STATES, 0, ALL "s"}},
+     .acts = {{2000, ACT_STATES, 0, ALL_SERVING "s"}},
      .length_ms = 40000},
     {.name = "weights",
      .acts = {{2000, ACT_WEIGHTS, 0, "55555555555559"}},
      .length_ms = 40000},
     {.name = "return",
      .acts = {{1000, ACT_STATES, 0, "slssssssssssss"},
-              {12000, ACT_STATES, 0, ALL}},
+              {12000, ACT_STATES, 0, ALL_SERVING}},
      .length_ms = 40000},
     {.name = "stop-entry",
      .acts = {{2000, ACT_STOP, 3, NULL}, {15000, ACT_START, 3, NULL}},
@@ -46,7 +46,7 @@
               {2000, ACT_CUT, 5, NULL},
               {2200, ACT_STATES, 0, "slssssssssssss"},
               {9000, ACT_CUT, 2, NULL},
-              {9200, ACT_STATES, 0, ALL "s"}},
+              {9200, ACT_STATES, 0, ALL_SERVING "s"}},
      .length_ms = 40000},
     {.name = "freeze-entry",
      .acts = {{2000, ACT_FREEZE, 2, NULL},
@@ -60,7 +60,7 @@
     {.name = "mix-views-apart"},
 };
 
-/* Figures that are printed, by seed. */
+/* Columns of a row. */
 enum figure {
     BROKEN,
     BROKEN_SHARE,
@@ -76,7 +76,7 @@
     FIGURES
 };
 
-/* Runs one scene in one way over the seeds, and prints a row. */
+/* Runs a scene with one algorithm over all seeds and prints a row. */
 static void
 run_row(const struct flow_load *base, const struct flow_scene *scene,
         enum way way, int seeds)
@@ -135,13 +135,12 @@
     g_free(values);
 }
 
-/* Runs all rows. */
 int
 main(int argc, char **argv)
 {
     int seeds = argc > 1 ? atoi(argv[1]) : 5;
     bool meals = argc > 2 && strcmp(argv[2], "meals") == 0;
-    const char *only = argc > 3 ? argv[3] : "all";
+    const char *only_scene = argc > 3 ? argv[3] : "all";
     const char *new_per_s = getenv("BENCH_NEW_PER_S");
     const char *only_way = argc > 4 ? argv[4] : "all";
     struct flow_load base = {.upstreams = 14,
@@ -164,7 +163,8 @@
                  "imb", "worst", "end", "hops%", "ctl/s", "idle", "B/flow",
                  "force");
     for (size_t i = 0; i < G_N_ELEMENTS(scenes); i++) {
-        if (strcmp(only, "all") != 0 && strcmp(only, scenes[i].name) != 0) {
+        if (strcmp(only_scene, "all") != 0 &&
+            strcmp(only_scene, scenes[i].name) != 0) {
             continue;
         }
         for (int way = 0; way < WAY_COUNT; way++) {
--- a/tools/bench-forward.c
+++ b/tools/bench-forward.c
@@ -1,7 +1,7 @@
 /*
- * Sends packets of many flows to one process and counts those that come out
- * at the fabric's address; prints packets for each second of that process's
- * processor time.
+ * Measures the forwarding rate of a process: sends packets of many flows to
+ * it, counts those that arrive at the fabric's address, and prints packets per
+ * second of the process's processor time.
  *
  * usage: bench-forward TARGET SINK PID FLOWS SECONDS
  */
@@ -17,13 +17,13 @@
 
 #define PORT 6081
 #define BATCH 32
-#define PAUSE_US 150
+#define BATCH_INTERVAL_US 150
 #define PAYLOAD 64
-#define WARM_UP_US 1000000
+#define WARMUP_US 1000000
 
 static volatile gint running = 1;
 
-/* Seconds of processor time of a process. */
+/* User and system time of a process in seconds. */
 static double
 cpu_seconds(const char *pid)
 {
@@ -42,19 +42,19 @@
     return (double)(user + system) / (double)sysconf(_SC_CLK_TCK);
 }
 
-/* Opens a socket on an address. */
+/* Opens a UDP socket; exits with status 2 on failure. */
 static int
 open_socket(const char *address)
 {
     struct sockaddr_in at = {.sin_family = AF_INET,
                              .sin_port = htons(PORT),
                              .sin_addr.s_addr = inet_addr(address)};
-    struct timeval wait = {.tv_usec = 50000};
+    struct timeval timeout = {.tv_usec = 50000};
     int size = 16 * 1024 * 1024;
     int fd = socket(AF_INET, SOCK_DGRAM, 0);
 
     (void)setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &size, sizeof(size));
-    (void)setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &wait, sizeof(wait));
+    (void)setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof(timeout));
     if (bind(fd, (struct sockaddr *)&at, sizeof(at)) != 0) {
         perror("bench-forward: bind");
         exit(2);
@@ -62,7 +62,7 @@
     return fd;
 }
 
-/* Counts what arrives. */
+/* Thread that counts received packets; returns the count. */
 static gpointer
 count_packets(gpointer data)
 {
@@ -86,7 +86,7 @@
     return GSIZE_TO_POINTER(count);
 }
 
-/* Writes the packet of a flow; returns where it begins. */
+/* Writes a Geneve packet of a flow; returns its first byte. */
 static uint8_t *
 make_packet(uint8_t *buffer, unsigned flow, size_t *length)
 {
@@ -110,7 +110,7 @@
     return packet_encapsulate(&packet, NULL, length);
 }
 
-/* Sends packets for a time; returns how many. */
+/* Sends packets until a time; returns their number. */
 static size_t
 send_packets(int fd, const struct sockaddr_in *to, unsigned flows,
              gint64 until)
@@ -134,12 +134,11 @@
         }
         n = sendmmsg(fd, messages, BATCH, 0);
         sent += n > 0 ? (size_t)n : 0;
-        g_usleep(PAUSE_US);
+        g_usleep(BATCH_INTERVAL_US);
     }
     return sent;
 }
 
-/* Measures. */
 int
 main(int argc, char **argv)
 {
@@ -160,7 +159,7 @@
     in = open_socket(argv[2]);
     out = open_socket("127.0.4.9");
     (void)send_packets(out, &to, (unsigned)atoi(argv[4]),
-                       g_get_monotonic_time() + WARM_UP_US);
+                       g_get_monotonic_time() + WARMUP_US);
     sink = g_thread_new("sink", count_packets, GINT_TO_POINTER(in));
     cpu = cpu_seconds(argv[3]);
     sent = send_packets(out, &to, (unsigned)atoi(argv[4]),
--- a/tools/bench-request.c
+++ b/tools/bench-request.c
@@ -1,6 +1,7 @@
 /*
- * Measures ways of admitting and placing requests on the same seeds and
- * workload, in simulated time over the core, and prints one table of medians.
+ * Compares algorithms of admission control and upstream selection for requests
+ * on the same seeds and workload in simulated time, and prints a table of
+ * medians.
  *
  * usage: bench-request [SEEDS [argoat|meals [TROUBLE|load|overload|all]]]
  */
@@ -12,9 +13,8 @@
 #include "median.h"
 #include "request-load.h"
 
-/* Prints the head of the table. */
 static void
-print_head(void)
+print_header(void)
 {
     (void)printf("%-13s %-10s %8s %6s %6s %6s %5s %5s %5s %5s %5s %7s %7s "
                  "%5s %6s %6s %6s %6s\n",
@@ -23,34 +23,34 @@
                  "busy", "retry%", "ret%", "B/s");
 }
 
-/* Prints the rules by which requests were refused or left unknown. */
+/* Prints how often each rule refused a request or left its outcome unknown. */
 static void
 print_rules(const struct request_result *sum)
 {
-    const char *lead = "              rules:";
+    const char *separator = "              rules:";
 
     for (int rule = 0; rule < RULE_COUNT; rule++) {
         if (sum->rules[rule] > 0) {
-            (void)printf("%s %s %u", lead,
+            (void)printf("%s %s %u", separator,
                          ring_rule_name((enum ring_rule)rule),
                          sum->rules[rule]);
-            lead = ",";
+            separator = ",";
         }
     }
-    if (lead[0] == ',') {
+    if (separator[0] == ',') {
         (void)printf("\n");
     }
 }
 
-/* Runs one row: sums of what must be 0, medians of the rest. */
+/* Runs all seeds and prints a row: sums of outcomes, medians of the rest. */
 static void
 run_row(const char *scene, const struct request_load *base, int seeds)
 {
-    double *v[7];
+    double *values[7];
     struct request_result sum = {0};
 
     for (int i = 0; i < 7; i++) {
-        v[i] = g_new0(double, (gsize)seeds);
+        values[i] = g_new0(double, (gsize)seeds);
     }
     for (int s = 0; s < seeds; s++) {
         struct request_load load = *base;
@@ -73,41 +73,41 @@
         }
         sum.returned += r.returned;
         sum.returned_ok += r.returned_ok;
-        v[0][s] = r.p50_ms;
-        v[1][s] = r.p99_ms;
-        v[2][s] = r.goodput;
-        v[3][s] = r.busy_imbalance;
-        v[4][s] = r.bytes_per_s;
+        values[0][s] = r.p50_ms;
+        values[1][s] = r.p99_ms;
+        values[2][s] = r.goodput;
+        values[3][s] = r.busy_imbalance;
+        values[4][s] = r.bytes_per_s;
     }
-    (void)printf(
-        "%-13s %-10s %8u %6.2f %6u %6u %5u %5u %5u %5u %5u %7.1f "
-        "%7.1f %5.2f %6.3f %6.2f %6.1f %6.0f\n",
-        scene, request_load_way(base->way), sum.requests,
-        100.0 * sum.answered / MAX(1, sum.requests), sum.not_run, sum.unknown,
-        sum.lost, sum.run_twice, sum.false_not_run, sum.wrong,
-        sum.late_at_leaving, median_of(v[0], (size_t)seeds),
-        median_of(v[1], (size_t)seeds), median_of(v[2], (size_t)seeds),
-        median_of(v[3], (size_t)seeds),
-        100.0 * sum.retried / MAX(1, sum.requests),
-        100.0 * sum.returned_ok / MAX(1, sum.returned),
-        median_of(v[4], (size_t)seeds));
+    (void)printf("%-13s %-10s %8u %6.2f %6u %6u %5u %5u %5u %5u %5u %7.1f "
+                 "%7.1f %5.2f %6.3f %6.2f %6.1f %6.0f\n",
+                 scene, request_load_way(base->way), sum.requests,
+                 100.0 * sum.answered / MAX(1, sum.requests), sum.not_run,
+                 sum.unknown, sum.lost, sum.run_twice, sum.false_not_run,
+                 sum.wrong, sum.late_at_leaving,
+                 median_of(values[0], (size_t)seeds),
+                 median_of(values[1], (size_t)seeds),
+                 median_of(values[2], (size_t)seeds),
+                 median_of(values[3], (size_t)seeds),
+                 100.0 * sum.retried / MAX(1, sum.requests),
+                 100.0 * sum.returned_ok / MAX(1, sum.returned),
+                 median_of(values[4], (size_t)seeds));
     if (base->way == REQ_GATE) {
         print_rules(&sum);
     }
     (void)fflush(stdout);
     for (int i = 0; i < 7; i++) {
-        g_free(v[i]);
+        g_free(values[i]);
     }
 }
 
-/* Runs the rows of a group. */
 int
 main(int argc, char **argv)
 {
     int seeds = argc > 1 ? atoi(argv[1]) : 5;
     bool meals = argc > 2 && strcmp(argv[2], "meals") == 0;
-    const char *only = argc > 3 ? argv[3] : "all";
-    bool all = strcmp(only, "all") == 0;
+    const char *only_group = argc > 3 ? argv[3] : "all";
+    bool all = strcmp(only_group, "all") == 0;
     struct request_load base = {.upstreams = 14,
                                 .slots = meals ? 2 : 3,
                                 .entries = 11,
@@ -118,18 +118,18 @@
                                 .service_ms = 50};
 
     (void)printf("%s, %d seeds\n", meals ? "meals" : "argoat", seeds);
-    print_head();
+    print_header();
     for (int way = 0; way < REQ_WAYS; way++) {
         struct request_load load = base;
 
         load.way = (enum request_way)way;
-        if (all || strcmp(only, "load") == 0) {
+        if (all || strcmp(only_group, "load") == 0) {
             load.load = 0.8;
             run_row("load-80%", &load, seeds);
             load.load = 0.9;
             run_row("load-90%", &load, seeds);
         }
-        if (all || strcmp(only, "overload") == 0) {
+        if (all || strcmp(only_group, "overload") == 0) {
             load.load = 0.5;
             load.overload = 2.0;
             load.overload_ms = 60000;
@@ -143,7 +143,7 @@
         for (int way = 0; way < 2; way++) {
             struct request_load load = base;
 
-            if (!all && strcmp(only, name) != 0) {
+            if (!all && strcmp(only_group, name) != 0) {
                 continue;
             }
             load.way = (enum request_way)way;
--- a/tools/bench-steer.c
+++ b/tools/bench-steer.c
@@ -1,12 +1,12 @@
 /*
- * Compares ways of choosing an upstream in the model of tests/steer-load.h, on
- * the same seeds, and prints one table of medians.
+ * Compares algorithms of upstream selection in the model of tests/steer-load.h
+ * on the same seeds, and prints a table of medians.
  *
  * usage: bench-steer [--seeds N] [--scene NAME] [--way NAME] [--csv]
  *                    [--scenes FILE] [--nodes N] [--without MECHANISM]
  *
- * FILE is JSON with comments: a list of scenes whose keys are the members of
- * struct steer_scene; what is left out is as in the scene "calm".
+ * FILE is a JSON array, comments allowed, of scenes whose keys are the members
+ * of struct steer_scene. A missing key has the value of the scene "calm".
  */
 #include <glib.h>
 #include <json-c/json.h>
@@ -20,8 +20,9 @@
 
 #define SCENES_MAX 32
 
-/* X(member): the numbers of a scene, by their names in a file. */
-#define SCENE_NUMBERS(X)                                                      \
+/* X(member): numeric members of struct steer_scene that are keys of a
+ * scene. */
+#define SCENE_MEMBERS(X)                                                      \
     X(nodes)                                                                  \
     X(upstreams)                                                              \
     X(slots)                                                                  \
@@ -43,21 +44,21 @@
     X(renew_at)                                                               \
     X(renew_share)
 
-/* The load of a small deployment. */
-#define TODAY STEER_SMALL_LOAD, .length_ms = 30000
-/* Of a larger one: 120 upstreams behind 64 nodes. */
-#define GROWN                                                                 \
+/* 14 upstreams behind 12 nodes. */
+#define SMALL_LOAD STEER_SMALL_LOAD, .length_ms = 30000
+/* 120 upstreams behind 64 nodes. */
+#define LARGE_LOAD                                                            \
     .nodes = 64, .upstreams = 120, .slots = 2, .queue = 8, .callers = 900,    \
     .per_s = 1200, .short_share = 20, .work_ms = 17, .aim_ms = 400,           \
     .budget_ms = 2500, .length_ms = 20000
 
 static struct steer_scene scenes[SCENES_MAX] = {
-    {.name = "calm", TODAY},
-    {.name = "lossy", TODAY, .loss = 25},
-    {.name = "renew", TODAY, .renew_at = 5000, .renew_share = 50},
-    {.name = "die", TODAY, .die_at = 10000, .die_share = 25},
+    {.name = "calm", SMALL_LOAD},
+    {.name = "lossy", SMALL_LOAD, .loss = 25},
+    {.name = "renew", SMALL_LOAD, .renew_at = 5000, .renew_share = 50},
+    {.name = "die", SMALL_LOAD, .die_at = 10000, .die_share = 25},
     {.name = "slow",
-     TODAY,
+     SMALL_LOAD,
      .slow_at = 10000,
      .slow_for = 10000,
      .slow_share = 30,
@@ -78,10 +79,10 @@
      .slow_for = 10000,
      .slow_share = 30,
      .slow_times = 4},
-    {.name = "grown", GROWN},
-    {.name = "grown-die", GROWN, .die_at = 8000, .die_share = 20},
+    {.name = "grown", LARGE_LOAD},
+    {.name = "grown-die", LARGE_LOAD, .die_at = 8000, .die_share = 20},
     {.name = "grown-slow",
-     GROWN,
+     LARGE_LOAD,
      .slow_at = 6000,
      .slow_for = 8000,
      .slow_share = 30,
@@ -89,7 +90,7 @@
 };
 static size_t scene_count = 9;
 
-/* What may be left out. */
+/* Mechanisms that --without disables. */
 static const struct mechanism {
     const char *name;
     enum fault fault;
@@ -106,9 +107,10 @@
     {"lost", FAULT_NO_LOST},
 };
 
-/* Leaves a mechanism out; false when there is none of that name. */
+/* Disables a mechanism of fault.h; FALSE with a message if the name is
+ * unknown. */
 static gboolean
-leave_out(const char *name)
+disable_mechanism(const char *name)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(mechanisms); i++) {
         if (strcmp(name, mechanisms[i].name) == 0) {
@@ -116,16 +118,16 @@
             return TRUE;
         }
     }
-    (void)fprintf(stderr, "%s: no such mechanism; see fault.h\n", name);
+    (void)fprintf(stderr, "%s: unknown mechanism\n", name);
     return FALSE;
 }
 
-/* Figures of a row. */
+/* Columns of a row. */
 enum figure {
     IN_AIM,
     LATE,
     FAILED,
-    AWAY,
+    REJECTED,
     RESETS,
     FALSE_SILENT,
     IMBALANCE,
@@ -134,7 +136,8 @@
     FIGURES
 };
 
-/* Reads scenes from a file; false with a message when it cannot. */
+/* Replaces the built-in scenes by those of a file; FALSE with a message if
+ * the file is invalid. */
 static gboolean
 read_scenes(const char *path)
 {
@@ -142,8 +145,8 @@
     size_t count = 0;
 
     if (!json_object_is_type(list, json_type_array)) {
-        (void)fprintf(stderr, "%s: no list of scenes: %s\n", path,
-                      json_util_get_last_err());
+        (void)fprintf(stderr, "%s: expected a JSON array of scenes: %s\n",
+                      path, json_util_get_last_err());
         return FALSE;
     }
     count = json_object_array_length(list);
@@ -153,7 +156,7 @@
         struct steer_scene *scene = &scenes[scene_count];
         json_object *value;
 
-        *scene = (struct steer_scene){.name = "own", TODAY};
+        *scene = (struct steer_scene){.name = "own", SMALL_LOAD};
         if (json_object_object_get_ex(doc, "name", &value)) {
             g_strlcpy(scene->name, json_object_get_string(value),
                       sizeof(scene->name));
@@ -162,14 +165,14 @@
     if (json_object_object_get_ex(doc, #member, &value)) {                    \
         scene->member = (unsigned)json_object_get_int(value);                 \
     }
-        SCENE_NUMBERS(X)
+        SCENE_MEMBERS(X)
 #undef X
     }
     json_object_put(list);
     return TRUE;
 }
 
-/* Runs a scene in one way over the seeds, and prints a row. */
+/* Runs a scene with one algorithm over all seeds and prints a row. */
 static void
 run_row(const struct steer_scene *scene, enum steer_way way, int seeds,
         int csv)
@@ -186,7 +189,7 @@
         values[IN_AIM * seeds + seed] = 100.0 * r.in_aim / asked;
         values[LATE * seeds + seed] = 100.0 * r.late / asked;
         values[FAILED * seeds + seed] = 100.0 * r.failed / asked;
-        values[AWAY * seeds + seed] = 100.0 * r.turned_away / asked;
+        values[REJECTED * seeds + seed] = 100.0 * r.turned_away / asked;
         values[RESETS * seeds + seed] = r.reset_alive;
         values[FALSE_SILENT * seeds + seed] = r.silent_alive;
         values[IMBALANCE * seeds + seed] = r.imbalance;
@@ -200,39 +203,45 @@
                      : "%-12s %-9s %7.2f %6.2f %6.2f %6.2f %6.0f %6.0f %6.2f "
                        "%7.0f %6.0f\n",
                  scene->name, steer_way_name(way), median[IN_AIM],
-                 median[LATE], median[FAILED], median[AWAY], median[RESETS],
-                 median[FALSE_SILENT], median[IMBALANCE], median[NS],
-                 median[BYTES]);
+                 median[LATE], median[FAILED], median[REJECTED],
+                 median[RESETS], median[FALSE_SILENT], median[IMBALANCE],
+                 median[NS], median[BYTES]);
     (void)fflush(stdout);
     g_free(values);
 }
 
-/* Reads the command line, runs all rows. */
 int
 main(int argc, const char **argv)
 {
     int seeds = 5;
     int nodes = 0;
     int csv = 0;
-    char *only = NULL;
+    char *only_scene = NULL;
     char *only_way = NULL;
-    char *file = NULL;
+    char *scenes_file = NULL;
     char *without = NULL;
     struct poptOption options[] = {
-        {"seeds", 's', POPT_ARG_INT, &seeds, 0, "seeds of each row", "N"},
-        {"nodes", 'n', POPT_ARG_INT, &nodes, 0, "nodes of each scene", "N"},
-        {"scene", 0, POPT_ARG_STRING, &only, 0, "this scene alone", "NAME"},
-        {"way", 0, POPT_ARG_STRING, &only_way, 0, "this way alone", "NAME"},
-        {"scenes", 0, POPT_ARG_STRING, &file, 0, "scenes of a file", "FILE"},
-        {"without", 0, POPT_ARG_STRING, &without, 0, "leave this out", "NAME"},
+        {"seeds", 's', POPT_ARG_INT, &seeds, 0, "run each row with N seeds",
+         "N"},
+        {"nodes", 'n', POPT_ARG_INT, &nodes, 0, "run each scene with N nodes",
+         "N"},
+        {"scene", 0, POPT_ARG_STRING, &only_scene, 0, "run only this scene",
+         "NAME"},
+        {"way", 0, POPT_ARG_STRING, &only_way, 0, "run only this algorithm",
+         "NAME"},
+        {"scenes", 0, POPT_ARG_STRING, &scenes_file, 0,
+         "read the scenes from a JSON file", "FILE"},
+        {"without", 0, POPT_ARG_STRING, &without, 0, "disable this mechanism",
+         "NAME"},
         {"csv", 0, POPT_ARG_NONE, &csv, 0, "comma-separated values", NULL},
         POPT_AUTOHELP POPT_TABLEEND};
     poptContext context =
         poptGetContext("bench-steer", argc, argv, options, 0);
     int bad = poptGetNextOpt(context);
 
-    if (bad < -1 || seeds < 1 || (file != NULL && !read_scenes(file)) ||
-        (without != NULL && !leave_out(without))) {
+    if (bad < -1 || seeds < 1 ||
+        (scenes_file != NULL && !read_scenes(scenes_file)) ||
+        (without != NULL && !disable_mechanism(without))) {
         poptPrintUsage(context, stderr, 0);
         return 2;
     }
@@ -242,7 +251,7 @@
             : "scene        way       in aim%%  late%%  fail%%  away%% "
               "resets  false   imb  ns/dec B/s/node\n");
     for (size_t i = 0; i < scene_count; i++) {
-        if (only != NULL && strcmp(only, scenes[i].name) != 0) {
+        if (only_scene != NULL && strcmp(only_scene, scenes[i].name) != 0) {
             continue;
         }
         if (nodes > 0) {
--- a/tools/bench-warmup.c
+++ b/tools/bench-warmup.c
@@ -1,8 +1,9 @@
 /*
- * Compares ways of bounding what cold upstreams get over all nodes, in a model
- * of nodes that decide alone: one service, of whose upstreams a third or all
- * turn cold for 2 s and bear 9 new flows in any second; 16 new flows a second
- * at each node. Prints one row for each way, size and scene.
+ * Compares algorithms that limit the rate of new flows to upstreams in slow
+ * start, in a model of nodes that decide independently: one service, of whose
+ * upstreams a third or all are warming up for 2 s and accept 9 new flows in
+ * any second, and 16 new flows per second at each node. Prints a row for each
+ * algorithm, size and fault.
  *
  * usage: bench-warmup [SEEDS]
  */
@@ -15,42 +16,42 @@
 #include "warmup.h"
 #include "window.h"
 
-#define COLD_MS 2000U
-#define BOUND 9U /* of 9.5: 3 a second, times 1.5, and 5 */
-#define FLOWS_A_NODE_S 16U
+#define WARMING_MS 2000U
+#define FLOWS_PER_S_MAX 9U /* 3 per second * 1.5 + 5, rounded down */
+#define NODE_FLOWS_PER_S 16U
 #define FLOW_MS 60U
-#define COLD_TENTHS 16U
-#define CLOCK_MS 2000U  /* by which a third of the clocks is off */
-#define LEARNED_MS 100U /* a node that is late to learn who is cold */
+#define WARMING_LOAD_TENTHS 16U
+#define CLOCK_SKEW_MS 2000U /* clock skew of every third node */
+#define LEARN_DELAY_MS 100U /* until a node sees the warm-up */
 #define NODES_MAX 300
 #define UPSTREAMS_MAX 600
 
-/* How a node decides about a cold upstream. */
+/* Algorithm that limits the flows to a warming upstream. */
 enum way {
-    WAY_WEIGHT, /* it weighs 1.6 times as much */
-    WAY_SLOTS,  /* each node has its turn, by the clock */
-    WAY_OWNERS, /* a few nodes own it and send it a flow a second each */
-    WAY_GRANTS, /* the node that hears it hands out all that it bears */
-    WAY_WAIT,   /* none while there are warm ones; else its owners */
+    WAY_WEIGHT, /* its load counts 1.6 times */
+    WAY_SLOTS,  /* time slots of the nodes, by their clocks */
+    WAY_OWNERS, /* a few owner nodes send it a flow per second each */
+    WAY_GRANTS, /* its keeper grants each flow */
+    WAY_WAIT,   /* none while warm upstreams exist; else its owners */
     WAY_COUNT
 };
 
 static const char *const way_names[WAY_COUNT] = {"weight", "slots", "owners",
                                                  "grants", "wait"};
 
-/* What is not as each node believes. */
+/* Faults. */
 enum trouble {
     TROUBLE_NONE,
-    TROUBLE_VIEWS, /* a tenth of the nodes is unknown to each, another one */
+    TROUBLE_VIEWS, /* each node lacks another tenth of the members */
     TROUBLE_CLOCKS,
-    TROUBLE_KEEPERS, /* upstreams are heard by two nodes for a moment */
+    TROUBLE_KEEPERS, /* two keepers per upstream */
     TROUBLE_COUNT
 };
 
 static const char *const trouble_names[TROUBLE_COUNT] = {"none", "views",
                                                          "clocks", "keepers"};
 
-/* One flow that is open. */
+/* An open flow. */
 struct flow {
     uint64_t ends_at;
     unsigned node;
@@ -60,115 +61,117 @@
 static struct {
     unsigned nodes;
     unsigned upstreams;
-    bool all_cold; /* else each third of them */
+    bool all_warming; /* false: every third */
     enum way way;
     enum trouble trouble;
     uint64_t random;
     uint64_t now;
     struct warmup_nodes views[NODES_MAX];
-    uint64_t clock_off[NODES_MAX];
+    uint64_t clock_offset[NODES_MAX];
     unsigned open[NODES_MAX][UPSTREAMS_MAX];
-    uint64_t sent_at[NODES_MAX][UPSTREAMS_MAX]; /* to a cold one */
-    GArray *times[UPSTREAMS_MAX];               /* uint64_t: new flows */
-    GQueue flows;                               /* struct flow, by end */
-    unsigned asked, refused, messages;
-} m;
-
-/* What came of it. */
-struct outcome {
-    unsigned worst;  /* most new flows of a cold one in a second */
-    double served;   /* new flows a second and cold upstream */
-    double refused;  /* % */
-    double spread;   /* busiest to mean of the warm ones */
-    double messages; /* for each new flow */
+    uint64_t sent_at[NODES_MAX][UPSTREAMS_MAX]; /* if warming */
+    GArray *times[UPSTREAMS_MAX]; /* uint64_t: start times of flows */
+    GQueue flows;                 /* struct flow, ordered by end */
+    unsigned requested, refused, messages;
+} model;
+
+/* Result of a run. */
+struct result {
+    unsigned worst;  /* most new flows of a warming upstream in 1 s */
+    double served;   /* new flows per second and warming upstream */
+    double refused;  /* percent */
+    double spread;   /* flows of the busiest warm upstream to their mean */
+    double messages; /* per new flow */
 };
 
-/* Says whether an upstream is cold. */
 static bool
-is_cold(unsigned upstream)
+is_warming(unsigned upstream)
 {
-    return m.all_cold || upstream % 3 == 0;
+    return model.all_warming || upstream % 3 == 0;
 }
 
-/* Lets each node know others. */
+/* Fills the member lists and clock offsets of all nodes. */
 static void
 make_views(void)
 {
-    for (unsigned n = 0; n < m.nodes; n++) {
+    for (unsigned n = 0; n < model.nodes; n++) {
         GArray *all = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 
-        m.views[n].self = n + 1;
-        m.views[n].all = g_array_new(FALSE, FALSE, sizeof(uint32_t));
-        for (uint32_t other = 1; other <= m.nodes; other++) {
-            if (m.trouble != TROUBLE_VIEWS || other == n + 1 ||
+        model.views[n].self = n + 1;
+        model.views[n].all = g_array_new(FALSE, FALSE, sizeof(uint32_t));
+        for (uint32_t other = 1; other <= model.nodes; other++) {
+            if (model.trouble != TROUBLE_VIEWS || other == n + 1 ||
                 (n + other) % 10 != 0) {
                 g_array_append_val(all, other);
             }
         }
-        warmup_set_nodes(&m.views[n], all);
+        warmup_set_nodes(&model.views[n], all);
         g_array_free(all, TRUE);
-        m.clock_off[n] = m.trouble == TROUBLE_CLOCKS && n % 3 == 0
-                             ? CLOCK_MS + random_next(&m.random) % CLOCK_MS
-                             : 0;
+        model.clock_offset[n] =
+            model.trouble == TROUBLE_CLOCKS && n % 3 == 0
+                ? CLOCK_SKEW_MS + random_next(&model.random) % CLOCK_SKEW_MS
+                : 0;
     }
 }
 
-/* Counts the new flows that an upstream got in the last second. */
+/* New flows of an upstream in the last second. */
 static unsigned
-lately(unsigned upstream)
+recent_flows(unsigned upstream)
 {
-    const GArray *times = m.times[upstream];
+    const GArray *times = model.times[upstream];
     unsigned count = 0;
 
     while (count < times->len &&
            g_array_index(times, uint64_t, times->len - 1 - count) + 1000 >
-               m.now) {
+               model.now) {
         count++;
     }
     return count;
 }
 
-/* Says whether it is a node's turn by its clock. */
+/* Whether the current time slot is the node's, by its own clock. */
 static bool
 has_slot(unsigned n, unsigned upstream)
 {
-    uint64_t slot_ms = 1000 / BOUND + 1;
-    uint64_t clock = m.now + m.clock_off[n];
+    uint64_t interval_ms = 1000 / FLOWS_PER_S_MAX + 1;
+    uint64_t clock = model.now + model.clock_offset[n];
 
-    return (clock / slot_ms) % m.nodes == (n + upstream * 7) % m.nodes &&
-           m.sent_at[n][upstream] + slot_ms < m.now;
+    return (clock / interval_ms) % model.nodes ==
+               (n + upstream * 7) % model.nodes &&
+           model.sent_at[n][upstream] + interval_ms < model.now;
 }
 
-/* Says whether the node that hears an upstream grants a flow. Two that hear it
- * each count their own. */
+/* Whether the keeper grants a flow. Two keepers each count only their own. */
 static bool
 is_granted(unsigned upstream)
 {
-    unsigned most = BOUND * (m.trouble == TROUBLE_KEEPERS ? 2 : 1);
+    unsigned flows_max =
+        FLOWS_PER_S_MAX * (model.trouble == TROUBLE_KEEPERS ? 2 : 1);
 
-    m.messages += 2;
-    return lately(upstream) < most;
+    model.messages += 2;
+    return recent_flows(upstream) < flows_max;
 }
 
-/* Says whether a node may send a new flow to an upstream. */
+/* Whether the algorithm lets a node send a new flow to an upstream. */
 static bool
 may_send(unsigned n, unsigned upstream)
 {
-    if (!is_cold(upstream)) {
+    if (!is_warming(upstream)) {
         return true;
     }
-    switch (m.way) {
+    switch (model.way) {
     case WAY_WEIGHT:
         return true;
     case WAY_SLOTS:
         return has_slot(n, upstream);
     case WAY_GRANTS:
-        return true; /* asked once it is chosen */
+        return true; /* granted after the choice */
     case WAY_OWNERS:
     case WAY_WAIT:
-        return (m.sent_at[n][upstream] == 0 ||
-                m.now >= m.sent_at[n][upstream] + WARMUP_FLOW_INTERVAL_MS) &&
-               warmup_is_owner(&m.views[n], BOUND / WARMUP_VIEWS,
+        return (model.sent_at[n][upstream] == 0 ||
+                model.now >=
+                    model.sent_at[n][upstream] + WARMUP_FLOW_INTERVAL_MS) &&
+               warmup_is_owner(&model.views[n], FLOWS_PER_S_MAX / WARMUP_VIEWS,
                                upstream + 1);
     case WAY_COUNT:
         break;
@@ -176,149 +179,151 @@
     return false;
 }
 
-/* Chooses by the least work that a node sees, from its own place on, perhaps
- * among warm ones alone. UPSTREAMS_MAX: none. */
+/* The upstream with the least load in a node's view, ties by the node's
+ * rank; UPSTREAMS_MAX: none. */
 static unsigned
-least(unsigned n, bool warm_alone)
+least_loaded(unsigned n, bool warm_only)
 {
-    unsigned place = n * m.upstreams / m.nodes;
+    unsigned offset = n * model.upstreams / model.nodes;
     unsigned best = UPSTREAMS_MAX;
-    unsigned best_work = 0;
+    unsigned best_load = 0;
 
-    for (unsigned i = 0; i < m.upstreams; i++) {
-        unsigned u = (i + place) % m.upstreams;
-        unsigned work = (m.open[n][u] + 1) * (is_cold(u) ? COLD_TENTHS : 10);
+    for (unsigned i = 0; i < model.upstreams; i++) {
+        unsigned u = (i + offset) % model.upstreams;
+        unsigned load = (model.open[n][u] + 1) *
+                        (is_warming(u) ? WARMING_LOAD_TENTHS : 10);
 
-        if ((warm_alone && is_cold(u)) ||
-            (best != UPSTREAMS_MAX && work >= best_work) || !may_send(n, u)) {
+        if ((warm_only && is_warming(u)) ||
+            (best != UPSTREAMS_MAX && load >= best_load) || !may_send(n, u)) {
             continue;
         }
         best = u;
-        best_work = work;
+        best_load = load;
     }
     return best;
 }
 
-/* Chooses an upstream for a new flow. */
+/* Selects an upstream for a new flow; UPSTREAMS_MAX: none. */
 static unsigned
 choose(unsigned n)
 {
-    unsigned u = least(n, m.way == WAY_WAIT && !m.all_cold);
+    unsigned u = least_loaded(n, model.way == WAY_WAIT && !model.all_warming);
 
-    if (m.way == WAY_GRANTS && u != UPSTREAMS_MAX && is_cold(u) &&
+    if (model.way == WAY_GRANTS && u != UPSTREAMS_MAX && is_warming(u) &&
         !is_granted(u)) {
-        return m.all_cold ? UPSTREAMS_MAX : least(n, true);
+        return model.all_warming ? UPSTREAMS_MAX : least_loaded(n, true);
     }
     return u;
 }
 
-/* A caller wants a flow. */
+/* Handles a new flow at a node. */
 static void
-arrive(unsigned n)
+handle_new_flow(unsigned n)
 {
     unsigned u = choose(n);
     struct flow *flow;
 
-    m.asked++;
+    model.requested++;
     if (u == UPSTREAMS_MAX) {
-        m.refused++;
+        model.refused++;
         return;
     }
     flow = g_new(struct flow, 1);
-    *flow = (struct flow){m.now + FLOW_MS, n, u};
-    g_queue_push_tail(&m.flows, flow);
-    m.open[n][u]++;
-    m.sent_at[n][u] = m.now;
-    g_array_append_val(m.times[u], m.now);
+    *flow = (struct flow){model.now + FLOW_MS, n, u};
+    g_queue_push_tail(&model.flows, flow);
+    model.open[n][u]++;
+    model.sent_at[n][u] = model.now;
+    g_array_append_val(model.times[u], model.now);
 }
 
-/* Ends flows. */
 static void
 end_flows(void)
 {
     struct flow *flow;
 
-    while ((flow = g_queue_peek_head(&m.flows)) != NULL &&
-           flow->ends_at <= m.now) {
-        m.open[flow->node][flow->upstream]--;
-        g_free(g_queue_pop_head(&m.flows));
+    while ((flow = g_queue_peek_head(&model.flows)) != NULL &&
+           flow->ends_at <= model.now) {
+        model.open[flow->node][flow->upstream]--;
+        g_free(g_queue_pop_head(&model.flows));
     }
 }
 
-/* Sums up. */
-static struct outcome
-sum_up(void)
+static struct result
+summarize(void)
 {
-    struct outcome out = {0};
+    struct result out = {0};
     unsigned warm = 0;
     unsigned busiest = 0;
     unsigned warm_count = 0;
-    unsigned cold = 0;
+    unsigned warming = 0;
 
-    for (unsigned u = 0; u < m.upstreams; u++) {
-        if (is_cold(u)) {
-            out.worst = MAX(out.worst, window_most(m.times[u], 1000));
-            cold += m.times[u]->len;
+    for (unsigned u = 0; u < model.upstreams; u++) {
+        if (is_warming(u)) {
+            out.worst = MAX(out.worst, window_most(model.times[u], 1000));
+            warming += model.times[u]->len;
         }
         else {
             warm_count++;
-            warm += m.times[u]->len;
-            busiest = MAX(busiest, m.times[u]->len);
+            warm += model.times[u]->len;
+            busiest = MAX(busiest, model.times[u]->len);
         }
     }
-    out.served =
-        cold / (double)(m.upstreams - warm_count) / (COLD_MS / 1000.0);
-    out.refused = 100.0 * m.refused / MAX(m.asked, 1);
+    out.served = warming / (double)(model.upstreams - warm_count) /
+                 (WARMING_MS / 1000.0);
+    out.refused = 100.0 * model.refused / MAX(model.requested, 1);
     out.spread = warm > 0 ? busiest * (double)warm_count / warm : 0;
-    out.messages = (double)m.messages / MAX(m.asked, 1);
+    out.messages = (double)model.messages / MAX(model.requested, 1);
     return out;
 }
 
-/* Plays one scene. */
-static struct outcome
-play(unsigned nodes, bool all, enum way way, enum trouble trouble,
-     uint64_t seed)
+/* Runs one model with one seed. */
+static struct result
+run_model(unsigned nodes, bool all, enum way way, enum trouble trouble,
+          uint64_t seed)
 {
-    struct outcome out;
-
-    memset(&m, 0, sizeof(m));
-    m.nodes = nodes;
-    m.upstreams = nodes * 2 > UPSTREAMS_MAX ? UPSTREAMS_MAX : nodes * 2;
-    m.all_cold = all;
-    m.way = way;
-    m.trouble = trouble;
-    m.random = seed;
+    struct result out;
+
+    memset(&model, 0, sizeof(model));
+    model.nodes = nodes;
+    model.upstreams = nodes * 2 > UPSTREAMS_MAX ? UPSTREAMS_MAX : nodes * 2;
+    model.all_warming = all;
+    model.way = way;
+    model.trouble = trouble;
+    model.random = seed;
     make_views();
-    for (unsigned u = 0; u < m.upstreams; u++) {
-        m.times[u] = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+    for (unsigned u = 0; u < model.upstreams; u++) {
+        model.times[u] = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     }
-    for (m.now = LEARNED_MS; m.now < LEARNED_MS + COLD_MS; m.now++) {
+    for (model.now = LEARN_DELAY_MS; model.now < LEARN_DELAY_MS + WARMING_MS;
+         model.now++) {
         end_flows();
-        for (unsigned n = 0; n < m.nodes; n++) {
-            if (random_next(&m.random) % 1000 < FLOWS_A_NODE_S) {
-                arrive(n);
+        for (unsigned n = 0; n < model.nodes; n++) {
+            if (random_next(&model.random) % 1000 < NODE_FLOWS_PER_S) {
+                handle_new_flow(n);
             }
         }
     }
-    out = sum_up();
-    for (unsigned u = 0; u < m.upstreams; u++) {
-        g_array_free(m.times[u], TRUE);
+    out = summarize();
+    for (unsigned u = 0; u < model.upstreams; u++) {
+        g_array_free(model.times[u], TRUE);
     }
-    for (unsigned n = 0; n < m.nodes; n++) {
-        g_array_free(m.views[n].all, TRUE);
+    for (unsigned n = 0; n < model.nodes; n++) {
+        g_array_free(model.views[n].all, TRUE);
     }
-    g_queue_clear_full(&m.flows, g_free);
+    g_queue_clear_full(&model.flows, g_free);
     return out;
 }
 
-/* Plays one scene with several seeds: the worst of the bound, means else. */
+/* Runs all seeds and prints a row: the worst rate, means of the rest. */
 static void
-row(unsigned nodes, bool all, enum way way, enum trouble trouble, int seeds)
+print_row(unsigned nodes, bool all, enum way way, enum trouble trouble,
+          int seeds)
 {
-    struct outcome sum = {0};
+    struct result sum = {0};
 
     for (int seed = 1; seed <= seeds; seed++) {
-        struct outcome one = play(nodes, all, way, trouble, (uint64_t)seed);
+        struct result one =
+            run_model(nodes, all, way, trouble, (uint64_t)seed);
 
         sum.worst = MAX(sum.worst, one.worst);
         sum.served += one.served / seeds;
@@ -329,11 +334,10 @@
     (void)printf("%-7s %5u %-5s %-7s %6u%s %8.2f %8.1f %8.2f %8.2f\n",
                  way_names[way], nodes, all ? "all" : "third",
                  trouble_names[trouble], sum.worst,
-                 sum.worst > BOUND ? "!" : " ", sum.served, sum.refused,
-                 sum.spread, sum.messages);
+                 sum.worst > FLOWS_PER_S_MAX ? "!" : " ", sum.served,
+                 sum.refused, sum.spread, sum.messages);
 }
 
-/* Plays all. */
 int
 main(int argc, char **argv)
 {
@@ -347,8 +351,8 @@
         for (int all = 0; all < 2; all++) {
             for (int way = 0; way < WAY_COUNT; way++) {
                 for (int trouble = 0; trouble < TROUBLE_COUNT; trouble++) {
-                    row(sizes[i], all, (enum way)way, (enum trouble)trouble,
-                        seeds);
+                    print_row(sizes[i], all, (enum way)way,
+                              (enum trouble)trouble, seeds);
                 }
             }
         }
--- a/tools/cluster.sh
+++ b/tools/cluster.sh
@@ -1,18 +1,19 @@
 # shellcheck shell=bash disable=SC2154,SC2034
-# Functions that start and stop a small cluster on loopback, for ./demo and
-# the process tests. Source it; it needs $run (a folder) and $bin (build/).
-# VMs: entries 127.0.1.N, control 127.0.2.N, upstreams 127.0.3.N, callers
-# 127.0.4.N, fabric 127.0.5.1. Ends only the processes it started, by id.
+# Functions that start and stop a small cluster on loopback, sourced by ./demo
+# and the process tests. Requires $run (directory), $bin (build directory) and
+# $began (start time in $SECONDS). Addresses: entries 127.0.1.N, control
+# 127.0.2.N, upstreams 127.0.3.N, callers 127.0.4.N, fabric 127.0.5.1. Signals
+# only processes that it started.
 
 pids=()
 declare -A pid_of
 
-# Prints a line with the seconds since the start.
+# Prints a line prefixed with the seconds since $began.
 say() {
     printf '[%4ds] %s\n' "$((SECONDS - began))" "$*"
 }
 
-# Starts a process in the background: start NAME COMMAND...
+# Starts a background process: start NAME COMMAND...
 start() {
     local name=$1
     shift
@@ -21,7 +22,7 @@
     pids+=($!)
 }
 
-# Ends everything that was started here.
+# Kills all processes started by start().
 stop_all() {
     local pid
     for pid in "${pids[@]}"; do kill -CONT "$pid" 2>/dev/null || true; done
@@ -29,7 +30,7 @@
     wait 2>/dev/null || true
 }
 
-# Makes keys of two operators and the key of the deployment.
+# Generates the keys of two operators and the cluster key.
 make_keys() {
     rm -f "$run"/ana.json "$run"/ivo.json
     ana=$("$bin/ridgeridge" keygen ana "$run/ana.json")
@@ -37,7 +38,7 @@
     cluster_key=$(od -An -N32 -tx1 /dev/urandom | tr -d ' \n')
 }
 
-# Writes the settings of one VM: write_settings ROLE N HALL
+# Writes the settings of a VM: write_settings ROLE N HALL
 write_settings() {
     local role=$1 n=$2 hall=$3 net=1 extra
     [ "$role" = control ] && net=2
@@ -63,15 +64,15 @@
 EOF
 }
 
-# Writes a bundle: write_bundle FILE VERSION BASE [NAME-OF-LEAVING]
+# Writes a bundle: write_bundle FILE VERSION BASE [LEAVING-UPSTREAM]
 write_bundle() {
-    local file=$1 version=$2 base=$3 leaving=${4:-none} i state list="" posts=""
+    local file=$1 version=$2 base=$3 leaving=${4:-none} i state flow_upstreams="" form_upstreams=""
     for i in 1 2 3 4; do
         state=serving
         [ "$leaving" = "dossier-$i" ] && state=leaving
-        list+="${list:+,}{\"name\": \"dossier-$i\", \"address\": \"127.0.3.$i\",
+        flow_upstreams+="${flow_upstreams:+,}{\"name\": \"dossier-$i\", \"address\": \"127.0.3.$i\",
           \"port\": 8443, \"state\": \"$state\", \"hall\": \"rennes-$((i % 3 + 1))\"}"
-        posts+="${posts:+,}{\"name\": \"form-$i\", \"address\": \"127.0.3.$i\",
+        form_upstreams+="${form_upstreams:+,}{\"name\": \"form-$i\", \"address\": \"127.0.3.$i\",
           \"port\": 8080, \"slots\": 3, \"state\": \"$state\"}"
     done
     cat >"$file" <<EOF
@@ -79,10 +80,10 @@
   "version": $version, "base": $base,
   "services": [
     {"name": "status-feed", "kind": "flow", "address": "10.9.0.1",
-     "port": 443, "protocol": "tcp", "upstreams": [$list]},
+     "port": 443, "protocol": "tcp", "upstreams": [$flow_upstreams]},
     {"name": "form-save", "kind": "request", "host": "forms.example",
      "objective": {"within_ms": 2000, "good_per_ten_thousand": 9900},
-     "upstreams": [$posts]},
+     "upstreams": [$form_upstreams]},
     {"name": "archive", "kind": "request", "host": "archive.example",
      "upstreams": [
        {"name": "archive-1", "address": "127.0.3.5", "port": 8080},
@@ -92,15 +93,15 @@
 EOF
 }
 
-# Runs an operator's command as ana or ivo: as WHO COMMAND...
+# Runs a command with an operator's credentials: as OPERATOR COMMAND...
 as() {
-    local who=$1 command=$2
+    local operator=$1 command=$2
     shift 2
     "$bin/ridgeridge" "$command" --settings "$run/control-1.json" \
-        --credentials "$run/$who.json" "$@"
+        --credentials "$run/$operator.json" "$@"
 }
 
-# Starts control, entries, upstreams and the fabric.
+# Starts 3 control VMs, 3 entries, 6 upstreams and the fabric.
 start_cluster() {
     local i
     make_keys
@@ -120,12 +121,12 @@
     done
 }
 
-# Submits a bundle as ana and signs it off as ivo: roll_out FILE VERSION
+# Submits a bundle as ana, signs it off as ivo: roll_out FILE VERSION
 roll_out() {
     as ana submit "$1" && as ivo sign-off "$2"
 }
 
-# Waits until a version is in force: wait_in_force VERSION SECONDS
+# Waits until a bundle is in force; 1 on a timeout: wait_in_force VERSION SECONDS
 wait_in_force() {
     local version=$1 until=$((SECONDS + $2))
     while [ $SECONDS -lt $until ]; do
@@ -139,7 +140,7 @@
     return 1
 }
 
-# Waits until N entries are in the epoch: wait_entries N SECONDS
+# Waits until the epoch has N entries; 1 on a timeout: wait_entries N SECONDS
 wait_entries() {
     local until=$((SECONDS + $2))
     while [ $SECONDS -lt $until ]; do
@@ -151,13 +152,14 @@
     return 1
 }
 
-# Checks the keyed requests: prints doubles and false refusals; 1 on any.
+# Checks requests with a key: none may run twice, nor run after a "not-run"
+# response: check_runs OUTCOMES-FILE
 check_runs() {
     local doubled false_refusals
     doubled=$(sort "$run/runs" | uniq -d | wc -l)
     false_refusals=$(awk 'NR == FNR {ran[$1] = 1; next}
         $1 == "not-run" && ran[$2] {n++} END {print n + 0}' \
         "$run/runs" "$1")
-    say "runs: $(wc -l <"$run/runs"), run twice: $doubled, refused as not-run but run: $false_refusals"
+    say "runs: $(wc -l <"$run/runs"), run twice: $doubled, run despite not-run: $false_refusals"
     [ "$doubled" = 0 ] && [ "$false_refusals" = 0 ]
 }
--- a/tools/soak/host.h
+++ b/tools/soak/host.h
@@ -1,8 +1,8 @@
 /**
  * @file host.h
- * The soak's hosts, which are its upstreams, and its callers: they speak the
- * platform's packets and registrations, and check what they see. They own no
- * node and harm none: that is soak.c's.
+ * Simulated upstreams (hosts) and callers of the soak. They speak the
+ * platform's packet format and registration API and verify every packet that
+ * they receive. Node faults belong to soak.c.
  */
 #ifndef RIDGERIDGE_SOAK_HOST_H
 #define RIDGERIDGE_SOAK_HOST_H
@@ -11,37 +11,39 @@
 #include <stdint.h>
 
 #define SOAK_HOSTS 8
-#define SOAK_HALLS 3         /* data halls, of nodes and hosts by turns */
-#define SOAK_HALL "hall-%d"  /* name of one */
-#define SOAK_INTERVAL_MS 770 /* between registrations of a host */
-
-/* Opens hosts and callers; the first of their addresses are given. */
-void soak_host_open(uint32_t hosts, uint32_t callers, uint32_t nodes,
-                    int node_count, uint16_t packet_port,
+#define SOAK_HALLS 3               /* node n and host n: hall n % SOAK_HALLS */
+#define SOAK_HALL_FORMAT "hall-%d" /* name of a hall */
+#define SOAK_REGISTRATION_MS 770   /* registration interval of a host */
+
+/* Opens the sockets of hosts and callers. Hosts use consecutive addresses
+ * from first_host on, nodes from first_node on. */
+void soak_host_open(uint32_t first_host, uint32_t caller_address,
+                    uint32_t first_node, int node_count, uint16_t packet_port,
                     uint16_t control_port, unsigned seed);
 
-/* Adds the sockets to poll. */
+/* Fills fds for poll(2); returns how many. */
 nfds_t soak_host_poll(struct pollfd *fds);
 
-/* Takes packets, sends what is due. */
+/* Handles received packets and expired timers. */
 void soak_host_run(uint64_t now);
 
-/* What can happen to a host. */
+/* Faults of a host. */
 enum soak_host_fault {
-    SOAK_HOST_LEAVES,  /* it says so, ends, and is replaced */
-    SOAK_HOST_CRASHES, /* it is replaced */
-    SOAK_HOST_PAUSES,
-    SOAK_HOST_FAULTS,  /* those before are drawn by lot */
-    SOAK_HOST_RESTARTS /* it crashes and starts again under its id */
+    SOAK_HOST_LEAVE, /* deregisters after a delay, then restarts */
+    SOAK_HOST_CRASH, /* restarts under a new id */
+    SOAK_HOST_PAUSE,
+    SOAK_HOST_RANDOM_FAULTS, /* number of faults above */
+    SOAK_HOST_RESTART        /* restarts under the same id */
 };
 
-/* Harms a host drawn by lot, unless it is down, paused or leaves. */
-void soak_host_fault(enum soak_host_fault fault);
+/* Injects a fault into a random host; no effect while that host is down,
+ * paused or leaving. */
+void soak_host_inject(enum soak_host_fault fault);
 
-/* A routing table for both services. Free with g_free(). */
-char *soak_table(uint64_t version);
+/* Returns the routing table of both services as JSON; free with g_free(). */
+char *soak_routing_table(uint64_t version);
 
-/* Prints what callers saw. */
+/* Prints the counters of the callers. */
 void soak_host_report(void);
 
 #endif
--- a/tools/soak/http.c
+++ b/tools/soak/http.c
@@ -1,7 +1,8 @@
 /*
- * The soak's operator and fabric. The operator puts tables and reads them at a
- * node drawn by lot, and follows where it is sent; no read may be older than
- * what was acknowledged. The fabric leaves out nodes that do not answer.
+ * HTTP clients of the soak. The operator writes and reads routing tables at
+ * random nodes and follows redirects; a read must not return a version older
+ * than the last acknowledged write. The fabric probes readiness and does not
+ * forward to nodes that fail.
  */
 #include "http.h"
 
@@ -15,54 +16,53 @@
 #include "platform/standin/standin.h"
 #include "soak.h"
 
-#define CALL_MS 1000   /* longest wait for an answer */
-#define OPERATE_MS 200 /* between an operator's calls */
-#define ASK_MS 500     /* between questions of the fabric */
-#define ASK_MISSES 2   /* without an answer: a node is left out */
-#define HALL_TURNS 5   /* of the operator's turns one is about a hall */
-#define HOPS 3         /* redirects that an operator follows */
-
-/* What the fabric knows of a node. */
-struct asked {
-    unsigned misses; /* questions without an answer */
-    bool ready;      /* the fabric sends packets here */
+#define REQUEST_TIMEOUT_MS 1000
+#define OPERATOR_INTERVAL_MS 200 /* between requests of the operator */
+#define PROBE_INTERVAL_MS 500    /* between readiness probes of a node */
+#define PROBE_FAILURES_MAX 2 /* consecutive ones until a node is not ready */
+#define HALL_ORDER_PERIOD 5  /* operator requests per hall order */
+#define REDIRECTS_MAX 3      /* followed by the operator */
+
+/* Result of a node's readiness probes. */
+struct probed_node {
+    unsigned failed_probes; /* consecutive */
+    bool ready;             /* receives packets */
 };
 
 static struct {
-    struct asked node[SOAK_NODES_MAX];
-    int count;      /* of nodes */
-    uint32_t nodes; /* address of the first */
+    struct probed_node node[SOAK_NODES_MAX];
+    int node_count;
+    uint32_t first_node; /* address; the others follow */
     uint16_t ready_port, control_port;
-    uint64_t version; /* sent last */
-    uint64_t acked;   /* highest acknowledged */
-    uint64_t put_at;  /* last acknowledgement */
-    uint64_t read_at; /* last read that was answered */
+    uint64_t last_version; /* of the last PUT */
+    uint64_t acked;        /* highest acknowledged version */
+    uint64_t put_at;       /* last acknowledged PUT */
+    uint64_t read_at;      /* last answered GET */
     unsigned puts, reads, hall_orders;
-    int hall;            /* that the operator empties */
-    bool emptied;        /* it is, or the order had no clear answer */
-    bool taking_back;    /* the order to take it back has no answer yet */
-    bool hold;           /* it stays so */
-    uint64_t emptied_at; /* that was acknowledged, 0: not, or taken back */
-    bool over;           /* threads end */
-    GMutex lock; /* of `acked`, `puts`, `put_at`, `hold`, `emptied_at` */
+    int hall;             /* that the operator drains */
+    bool drain_pending;   /* drain sent and not yet undone */
+    bool undrain_pending; /* undrain sent but not yet acknowledged */
+    bool keep_drained;    /* no undrain */
+    uint64_t drained_at;  /* acknowledgement, 0: not drained */
+    bool stopping;        /* ends the threads */
+    GMutex lock; /* of acked, puts, put_at, keep_drained, drained_at */
 } ask;
 
-/* Address of a node. */
 static uint32_t
 node_address(int n)
 {
-    return ask.nodes + (uint32_t)n;
+    return ask.first_node + (uint32_t)n;
 }
 
-/* A node that packets of a caller's port go to: ready, else any. */
+/* Rendezvous hashing over ready nodes; any node when none is ready. */
 uint32_t
-soak_ask_route(uint32_t hash)
+soak_http_pick_node(uint32_t hash)
 {
     int ready = 0;
-    int best = (int)(hash % (unsigned)ask.count);
+    int best = (int)(hash % (unsigned)ask.node_count);
     uint32_t best_rank = 0;
 
-    for (int n = 0; n < ask.count; n++) {
+    for (int n = 0; n < ask.node_count; n++) {
         uint32_t rank = (hash + (uint32_t)n * 0x9e3779b9U) * 0x85ebca6bU;
 
         if (ask.node[n].ready && (ready == 0 || rank > best_rank)) {
@@ -74,7 +74,7 @@
     return node_address(best);
 }
 
-/* Collects an answer. */
+/* Write callback of libcurl. */
 static size_t
 on_body(char *bytes, size_t size, size_t count, void *data)
 {
@@ -82,22 +82,21 @@
     return size * count;
 }
 
-/* Calls a node; the status, 0 without an answer, or 307 with `where`. */
 long
-soak_ask_call(const char *method, uint32_t address, uint16_t port,
-              const char *path, const char *body, GString *answer,
-              uint32_t *where)
+soak_http_request(const char *method, uint32_t address, uint16_t port,
+                  const char *path, const char *body, GString *answer,
+                  uint32_t *redirect)
 {
-    char place[ADDRESS_TEXT];
+    char endpoint[ADDRESS_TEXT];
     char *url = g_strdup_printf("http://%s%s",
-                                address_format(address, port, place), path);
+                                address_format(address, port, endpoint), path);
     CURL *curl = curl_easy_init();
     char *location = NULL;
     long status = 0;
 
     (void)curl_easy_setopt(curl, CURLOPT_URL, url);
     (void)curl_easy_setopt(curl, CURLOPT_CUSTOMREQUEST, method);
-    (void)curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, (long)CALL_MS);
+    (void)curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, (long)REQUEST_TIMEOUT_MS);
     (void)curl_easy_setopt(curl, CURLOPT_NOSIGNAL, 1L);
     (void)curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, on_body);
     (void)curl_easy_setopt(curl, CURLOPT_WRITEDATA, answer);
@@ -107,11 +106,11 @@
     if (curl_easy_perform(curl) == CURLE_OK) {
         (void)curl_easy_getinfo(curl, CURLINFO_RESPONSE_CODE, &status);
         (void)curl_easy_getinfo(curl, CURLINFO_REDIRECT_URL, &location);
-        if (where != NULL && location != NULL) {
+        if (redirect != NULL && location != NULL) {
             unsigned last = 0;
 
             (void)sscanf(location, "http://127.%*u.2.%u", &last);
-            *where = node_address((int)last - 1);
+            *redirect = node_address((int)last - 1);
         }
     }
     curl_easy_cleanup(curl);
@@ -119,31 +118,32 @@
     return status;
 }
 
-/* An operator's call, sent on to the leader as told. */
+/* Sends an operator's request to a random node, following redirects. */
 static long
 operate(const char *method, const char *path, const char *body,
         GString *answer)
 {
-    uint32_t at = node_address((int)(g_random_int() % (guint)ask.count));
+    uint32_t node =
+        node_address((int)(g_random_int() % (guint)ask.node_count));
     long status = 0;
 
-    for (int hops = 0; hops < HOPS; hops++) {
-        uint32_t where = 0;
+    for (int hops = 0; hops < REDIRECTS_MAX; hops++) {
+        uint32_t redirect = 0;
 
         g_string_truncate(answer, 0);
-        status = soak_ask_call(method, at, ask.control_port, path, body,
-                               answer, &where);
-        if (status != 307 || where == 0) {
+        status = soak_http_request(method, node, ask.control_port, path, body,
+                                   answer, &redirect);
+        if (status != 307 || redirect == 0) {
             break;
         }
-        at = where;
+        node = redirect;
     }
     return status;
 }
 
-/* Sends the version after the last one until it is acknowledged, or reads. */
+/* Sends either a GET, or a PUT of the next version. */
 static void
-operate_once(void)
+put_or_get_table(void)
 {
     GString *answer = g_string_new(NULL);
     uint64_t acked;
@@ -153,10 +153,11 @@
     acked = ask.acked;
     g_mutex_unlock(&ask.lock);
     if (g_random_int() % 2 == 0) {
-        body = soak_table(ask.version = MAX(ask.version, acked) + 1);
+        body = soak_routing_table(ask.last_version =
+                                      MAX(ask.last_version, acked) + 1);
         if (operate("PUT", STANDIN_TABLE_PATH, body, answer) == 200) {
             g_mutex_lock(&ask.lock);
-            ask.acked = MAX(ask.acked, ask.version);
+            ask.acked = MAX(ask.acked, ask.last_version);
             ask.puts++;
             ask.put_at = loop_now();
             g_mutex_unlock(&ask.lock);
@@ -170,127 +171,125 @@
         ask.reads++;
         ask.read_at = loop_now();
         if (read < acked) {
-            soak_broken("read version %llu after %llu was acknowledged", read,
-                        (unsigned long long)acked);
+            soak_violation(
+                "GET returned version %llu after %llu was acknowledged", read,
+                (unsigned long long)acked);
         }
     }
     g_string_free(answer, TRUE);
 }
 
-/* Notes when the hall was emptied. */
 static void
-note_emptied(uint64_t at)
+set_drained_at(uint64_t at)
 {
     g_mutex_lock(&ask.lock);
-    ask.emptied_at = at;
+    ask.drained_at = at;
     g_mutex_unlock(&ask.lock);
 }
 
-/* Empties a hall, or takes it back. One order without a clear answer is sent
- * again until it has one. */
+/* Drains a random hall or undrains the drained one. An order without an
+ * acknowledgement is repeated. */
 static void
-order_hall(void)
+send_hall_order(void)
 {
     GString *answer = g_string_new(NULL);
     char name[32];
     char path[STANDIN_PATH_MAX];
-    bool hold;
+    bool keep_drained;
     bool done;
 
     g_mutex_lock(&ask.lock);
-    hold = ask.hold;
-    done = ask.emptied_at != 0;
+    keep_drained = ask.keep_drained;
+    done = ask.drained_at != 0;
     g_mutex_unlock(&ask.lock);
-    if (!ask.emptied) {
+    if (!ask.drain_pending) {
         ask.hall = (int)(g_random_int() % SOAK_HALLS);
-        ask.emptied = true;
+        ask.drain_pending = true;
         done = false;
     }
-    (void)snprintf(name, sizeof(name), SOAK_HALL, ask.hall);
+    (void)snprintf(name, sizeof(name), SOAK_HALL_FORMAT, ask.hall);
     (void)snprintf(path, sizeof(path), STANDIN_HALL_PATH, name);
-    if (!done && !ask.taking_back) {
+    if (!done && !ask.undrain_pending) {
         if (operate("POST", path, NULL, answer) == 200) {
             ask.hall_orders++;
-            note_emptied(loop_now());
+            set_drained_at(loop_now());
         }
     }
-    else if (ask.taking_back || !hold) {
-        ask.taking_back = true;
-        note_emptied(0);
+    else if (ask.undrain_pending || !keep_drained) {
+        ask.undrain_pending = true;
+        set_drained_at(0);
         if (operate("DELETE", path, NULL, answer) == 200) {
             ask.hall_orders++;
-            ask.taking_back = false;
-            ask.emptied = false;
+            ask.undrain_pending = false;
+            ask.drain_pending = false;
         }
     }
     g_string_free(answer, TRUE);
 }
 
-/* When a hall was emptied. */
 uint64_t
-soak_ask_emptied_since(int hall)
+soak_http_drained_since(int hall)
 {
     uint64_t at;
 
     g_mutex_lock(&ask.lock);
-    at = hall == ask.hall ? ask.emptied_at : 0;
+    at = hall == ask.hall ? ask.drained_at : 0;
     g_mutex_unlock(&ask.lock);
     return at;
 }
 
-/* From now on a hall stays emptied. */
 void
-soak_ask_hold_hall(void)
+soak_http_keep_hall_drained(void)
 {
     g_mutex_lock(&ask.lock);
-    ask.hold = true;
+    ask.keep_drained = true;
     g_mutex_unlock(&ask.lock);
 }
 
-/* The operator's thread. */
+/* Thread of the operator. */
 static gpointer
 run_operator(gpointer unused)
 {
     (void)unused;
-    while (!ask.over) {
-        operate_once();
-        if (ask.hold || g_random_int() % HALL_TURNS == 0) {
-            order_hall();
+    while (!ask.stopping) {
+        put_or_get_table();
+        if (ask.keep_drained || g_random_int() % HALL_ORDER_PERIOD == 0) {
+            send_hall_order();
         }
-        g_usleep(OPERATE_MS * 1000);
+        g_usleep(OPERATOR_INTERVAL_MS * 1000);
     }
     return NULL;
 }
 
-/* A thread of the fabric: asks one node twice a second. */
+/* Thread that probes the readiness of one node. */
 static gpointer
 run_fabric(gpointer data)
 {
     int n = GPOINTER_TO_INT(data);
-    struct asked *node = &ask.node[n];
+    struct probed_node *node = &ask.node[n];
 
-    while (!ask.over) {
+    while (!ask.stopping) {
         GString *answer = g_string_new(NULL);
-        bool ok = soak_ask_call("GET", node_address(n), ask.ready_port,
-                                STANDIN_READY_PATH, NULL, answer, NULL) == 200;
+        bool ok =
+            soak_http_request("GET", node_address(n), ask.ready_port,
+                              STANDIN_READY_PATH, NULL, answer, NULL) == 200;
 
-        node->misses = ok ? 0 : node->misses + 1;
-        if (ok || node->misses >= ASK_MISSES) {
+        node->failed_probes = ok ? 0 : node->failed_probes + 1;
+        if (ok || node->failed_probes >= PROBE_FAILURES_MAX) {
             node->ready = ok;
         }
         g_string_free(answer, TRUE);
-        g_usleep(ASK_MS * 1000);
+        g_usleep(PROBE_INTERVAL_MS * 1000);
     }
     return NULL;
 }
 
-/* Starts the threads. */
 void
-soak_ask_open(uint32_t nodes, int node_count, uint16_t ready_port,
-              uint16_t control_port)
+soak_http_start(uint32_t nodes, int node_count, uint16_t ready_port,
+                uint16_t control_port)
 {
-    ask.nodes = nodes;
-    ask.count = node_count;
+    ask.first_node = nodes;
+    ask.node_count = node_count;
     ask.ready_port = ready_port;
     ask.control_port = control_port;
     (void)g_thread_new("operator", run_operator, NULL);
@@ -299,41 +298,38 @@
     }
 }
 
-/* Asks the threads to end. */
 void
-soak_ask_end(void)
+soak_http_stop(void)
 {
-    ask.over = true;
+    ask.stopping = true;
 }
 
-/* Checks what must hold once faults are over. The operator's thread has gone
- * on reading, so that a read of late is enough. */
+/* The operator's thread runs until the end, so that a recent PUT and GET
+ * must have succeeded. */
 void
-soak_ask_check(void)
+soak_http_check(void)
 {
-    if (loop_now() > ask.read_at + SOAK_CALM_MS) {
-        soak_broken("at the end: no read was answered for %llu ms",
-                    (unsigned long long)(loop_now() - ask.read_at));
+    if (loop_now() > ask.read_at + SOAK_STABLE_MS) {
+        soak_violation("at the end: no GET succeeded for %llu ms",
+                       (unsigned long long)(loop_now() - ask.read_at));
     }
-    if (loop_now() > ask.put_at + SOAK_CALM_MS) {
-        soak_broken("at the end: no table was acknowledged for %llu ms",
-                    (unsigned long long)(loop_now() - ask.put_at));
+    if (loop_now() > ask.put_at + SOAK_STABLE_MS) {
+        soak_violation("at the end: no PUT was acknowledged for %llu ms",
+                       (unsigned long long)(loop_now() - ask.put_at));
     }
-    if (ask.hold && ask.emptied_at == 0) {
-        soak_broken("at the end: no order about a hall was acknowledged");
+    if (ask.keep_drained && ask.drained_at == 0) {
+        soak_violation("at the end: no drain of a hall was acknowledged");
     }
-    for (int n = 0; n < ask.count; n++) {
+    for (int n = 0; n < ask.node_count; n++) {
         if (!ask.node[n].ready) {
-            soak_broken("at the end node %d is not ready", n);
+            soak_violation("at the end: node %d is not ready", n);
         }
     }
 }
 
-/* Prints what the operator did. */
 void
-soak_ask_report(void)
+soak_http_report(void)
 {
-    printf("%u puts, %u reads, version %llu, %u orders about halls, ",
-           ask.puts, ask.reads, (unsigned long long)ask.acked,
-           ask.hall_orders);
+    printf("%u puts, %u reads, version %llu, %u hall orders, ", ask.puts,
+           ask.reads, (unsigned long long)ask.acked, ask.hall_orders);
 }
--- a/tools/soak/http.h
+++ b/tools/soak/http.h
@@ -1,41 +1,43 @@
 /**
  * @file http.h
- * Those who ask the soak's nodes over HTTP, in threads of their own: an
- * operator, whose reads are checked, and the fabric, which sends packets only
- * to nodes that say they are ready. They own what they were answered, and
- * harm no node: that is soak.c's.
+ * HTTP clients of the soak, in threads of their own: an operator whose reads
+ * are checked for staleness, and the health checks by which the fabric selects
+ * nodes.
  */
-#ifndef RIDGERIDGE_SOAK_ASK_H
-#define RIDGERIDGE_SOAK_ASK_H
+#ifndef RIDGERIDGE_SOAK_HTTP_H
+#define RIDGERIDGE_SOAK_HTTP_H
 
 #include <glib.h>
 #include <stdint.h>
 
-/* Calls a node; the HTTP status, 0 without an answer, or 307 with `where`. */
-long soak_ask_call(const char *method, uint32_t address, uint16_t port,
-                   const char *path, const char *body, GString *answer,
-                   uint32_t *where);
+/* Sends a request to a node. Returns the HTTP status, 0 on a timeout or
+ * connection error; after a redirect to another node, *redirect is that
+ * node's address. */
+long soak_http_request(const char *method, uint32_t address, uint16_t port,
+                       const char *path, const char *body, GString *answer,
+                       uint32_t *redirect);
 
-/* Starts operator and fabric; the first of the nodes' addresses is given. */
-void soak_ask_open(uint32_t nodes, int node_count, uint16_t ready_port,
-                   uint16_t control_port);
+/* Starts the operator and a health-check thread per node. */
+void soak_http_start(uint32_t first_node, int node_count, uint16_t ready_port,
+                     uint16_t control_port);
 
-/* The node that the fabric sends a flow to, by a hash of the flow. */
-uint32_t soak_ask_route(uint32_t hash);
+/* The node that the fabric forwards a flow to: rendezvous hashing over
+ * ready nodes. */
+uint32_t soak_http_pick_node(uint32_t hash);
 
-/* When a hall was emptied, as acknowledged; 0: it is not, or is taken back. */
-uint64_t soak_ask_emptied_since(int hall);
+/* When the draining of a hall was acknowledged; 0: not drained. */
+uint64_t soak_http_drained_since(int hall);
 
-/* From now on the operator leaves a hall emptied. */
-void soak_ask_hold_hall(void);
+/* Makes the operator drain a hall and leave it drained. */
+void soak_http_keep_hall_drained(void);
 
-/* Asks operator and fabric to end. */
-void soak_ask_end(void);
+/* Stops the threads. */
+void soak_http_stop(void);
 
-/* Checks what must hold once faults are over. */
-void soak_ask_check(void);
+/* Checks the state that must be reached after the last fault. */
+void soak_http_check(void);
 
-/* Prints what the operator did. */
-void soak_ask_report(void);
+/* Prints the operator's counters. */
+void soak_http_report(void);
 
 #endif
--- a/tools/soak/link.c
+++ b/tools/soak/link.c
@@ -1,6 +1,7 @@
 /*
- * The proxy between the soak's nodes. Each node tells the others an address at
- * which the proxy listens; the sender of a datagram is known by its own one.
+ * UDP proxy between the soak's nodes. Each node advertises the address of its
+ * proxy socket to the others; a datagram's source address identifies the
+ * sender.
  */
 #include "host.h"
 #include "link.h"
@@ -12,88 +13,88 @@
 #include "loop.h"
 #include "soak.h"
 
-/* A datagram that the proxy holds. */
-struct held {
-    uint64_t at; /* deadline: deliver it */
-    int to;      /* node */
+/* A datagram waiting for delivery. */
+struct delayed_datagram {
+    uint64_t at; /* deadline */
+    int to;      /* receiving node */
     GByteArray *bytes;
 };
 
 static struct {
     struct soak_link link[SOAK_NODES_MAX];
-    int proxy[SOAK_NODES_MAX]; /* sockets that the others send to */
-    int count;                 /* of nodes */
-    uint32_t nodes;            /* address of the first */
-    uint16_t port;             /* of nodes and proxy */
-    GArray *held;              /* struct held */
-    int cut_halls[2];          /* that do not reach each other */
-    uint64_t cut_until;        /* deadline: they do again */
-    GRand *rand;               /* of datagrams that are lost */
+    int proxy[SOAK_NODES_MAX]; /* sockets that the other nodes send to */
+    int node_count;
+    uint32_t first_node;      /* address; the others follow */
+    uint16_t port;            /* of nodes and proxies */
+    GArray *delayed;          /* struct delayed_datagram */
+    int partitioned_halls[2]; /* that cannot reach each other */
+    uint64_t partition_until; /* deadline */
+    GRand *rand;              /* selects lost datagrams */
 } links;
 
-/* Opens the sockets. */
 void
-soak_link_open(uint32_t proxies, uint32_t nodes, int node_count, uint16_t port,
-               unsigned seed)
+soak_link_open(uint32_t first_proxy, uint32_t nodes, int node_count,
+               uint16_t port, unsigned seed)
 {
-    links.count = node_count;
-    links.nodes = nodes;
+    links.node_count = node_count;
+    links.first_node = nodes;
     links.port = port;
-    links.held = g_array_new(FALSE, FALSE, sizeof(struct held));
+    links.delayed = g_array_new(FALSE, FALSE, sizeof(struct delayed_datagram));
     links.rand = g_rand_new_with_seed(seed);
     for (int n = 0; n < node_count; n++) {
-        links.proxy[n] = soak_socket(proxies + (uint32_t)n, port);
+        links.proxy[n] = soak_socket(first_proxy + (uint32_t)n, port);
     }
 }
 
-/* A node's link. */
 struct soak_link *
 soak_link_of(int n)
 {
     return &links.link[n];
 }
 
-/* Cuts two halls from each other. */
 void
-soak_link_cut_halls(int one, int other, uint64_t until)
+soak_link_partition_halls(int one, int other, uint64_t until)
 {
-    links.cut_halls[0] = one;
-    links.cut_halls[1] = other;
-    links.cut_until = until;
+    links.partitioned_halls[0] = one;
+    links.partitioned_halls[1] = other;
+    links.partition_until = until;
 }
 
-/* Says whether a node is cut from a hall now. */
 bool
-soak_link_is_cut(int n, int hall)
+soak_link_is_partitioned(int n, int hall)
 {
     int own = n % SOAK_HALLS;
 
-    return loop_now() < links.cut_until &&
-           ((own == links.cut_halls[0] && hall == links.cut_halls[1]) ||
-            (own == links.cut_halls[1] && hall == links.cut_halls[0]));
+    return loop_now() < links.partition_until &&
+           ((own == links.partitioned_halls[0] &&
+             hall == links.partitioned_halls[1]) ||
+            (own == links.partitioned_halls[1] &&
+             hall == links.partitioned_halls[0]));
 }
 
-/* Passes a datagram between nodes, or holds, or loses it. */
+/* Queues a datagram for delivery unless the link drops it. */
 static void
-pass(int from, int to, const uint8_t *bytes, size_t length)
+forward_datagram(int from, int to, const uint8_t *bytes, size_t length)
 {
     const struct soak_link *a = &links.link[from];
     const struct soak_link *b = &links.link[to];
     unsigned delay = a->delay_ms + b->delay_ms;
-    struct held held = {.at = loop_now() + delay, .to = to};
+    struct delayed_datagram datagram = {.at = loop_now() + delay, .to = to};
 
-    if (a->cut_out || b->cut_in || soak_link_is_cut(from, to % SOAK_HALLS) ||
-        (unsigned)g_rand_int_range(links.rand, 0, 100) < a->loss + b->loss) {
+    if (a->drop_out || b->drop_in ||
+        soak_link_is_partitioned(from, to % SOAK_HALLS) ||
+        (unsigned)g_rand_int_range(links.rand, 0, 100) <
+            a->loss_percent + b->loss_percent) {
         return;
     }
-    held.bytes = g_byte_array_sized_new((guint)length);
-    g_byte_array_append(held.bytes, bytes, (guint)length);
-    g_array_append_val(links.held, held);
+    datagram.bytes = g_byte_array_sized_new((guint)length);
+    g_byte_array_append(datagram.bytes, bytes, (guint)length);
+    g_array_append_val(links.delayed, datagram);
 }
 
-/* Takes what others sent to a node. */
+/* Receives until the socket of a node's proxy is empty. */
 static void
-read_proxy(int to)
+receive_at_proxy(int to)
 {
     static uint8_t bytes[65536];
     struct sockaddr_in from = {0};
@@ -104,50 +105,51 @@
                          (struct sockaddr *)&from, &size)) > 0) {
         int sender = (int)(ntohl(from.sin_addr.s_addr) & 255) - 1;
 
-        if (sender >= 0 && sender < links.count) {
-            pass(sender, to, bytes, (size_t)n);
+        if (sender >= 0 && sender < links.node_count) {
+            forward_datagram(sender, to, bytes, (size_t)n);
         }
     }
 }
 
-/* Delivers datagrams whose delay is over. */
+/* Delivers datagrams whose delay has expired. */
 static void
-deliver_held(uint64_t now)
+deliver_delayed(uint64_t now)
 {
-    for (guint i = 0; i < links.held->len;) {
-        struct held held = g_array_index(links.held, struct held, i);
-        struct sockaddr_in at = {.sin_family = AF_INET,
-                                 .sin_port = htons(links.port),
-                                 .sin_addr.s_addr =
-                                     htonl(links.nodes + (uint32_t)held.to)};
-
-        if (held.at > now) {
+    for (guint i = 0; i < links.delayed->len;) {
+        struct delayed_datagram datagram =
+            g_array_index(links.delayed, struct delayed_datagram, i);
+        struct sockaddr_in at = {
+            .sin_family = AF_INET,
+            .sin_port = htons(links.port),
+            .sin_addr.s_addr =
+                htonl(links.first_node + (uint32_t)datagram.to)};
+
+        if (datagram.at > now) {
             i++;
             continue;
         }
-        (void)sendto(links.proxy[held.to], held.bytes->data, held.bytes->len,
-                     0, (struct sockaddr *)&at, sizeof(at));
-        g_byte_array_unref(held.bytes);
-        g_array_remove_index(links.held, i);
+        (void)sendto(links.proxy[datagram.to], datagram.bytes->data,
+                     datagram.bytes->len, 0, (struct sockaddr *)&at,
+                     sizeof(at));
+        g_byte_array_unref(datagram.bytes);
+        g_array_remove_index(links.delayed, i);
     }
 }
 
-/* Adds the sockets to poll. */
 nfds_t
 soak_link_poll(struct pollfd *fds)
 {
-    for (int n = 0; n < links.count; n++) {
+    for (int n = 0; n < links.node_count; n++) {
         fds[n] = (struct pollfd){.fd = links.proxy[n], .events = POLLIN};
     }
-    return (nfds_t)links.count;
+    return (nfds_t)links.node_count;
 }
 
-/* Takes what was sent, delivers what is due. */
 void
 soak_link_run(void)
 {
-    for (int n = 0; n < links.count; n++) {
-        read_proxy(n);
+    for (int n = 0; n < links.node_count; n++) {
+        receive_at_proxy(n);
     }
-    deliver_held(loop_now());
+    deliver_delayed(loop_now());
 }
--- a/tools/soak/link.h
+++ b/tools/soak/link.h
@@ -1,8 +1,7 @@
 /**
  * @file link.h
- * The links between the soak's nodes: a proxy passes their datagrams on, and
- * holds, loses or cuts them as each link says. It owns its sockets and what it
- * holds; which link is harmed, and until when, soak.c decides.
+ * UDP proxy between the soak's nodes that drops, delays or partitions their
+ * datagrams per link. soak.c decides which link is impaired, and until when.
  */
 #ifndef RIDGERIDGE_SOAK_LINK_H
 #define RIDGERIDGE_SOAK_LINK_H
@@ -11,32 +10,34 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* One node's link to the others; whole when all is zero. */
+/* Impairment of the link between a node and all others; all zero: none. */
 struct soak_link {
-    bool cut_in;       /* nothing arrives */
-    bool cut_out;      /* nothing leaves */
-    unsigned loss;     /* of 100 datagrams */
-    unsigned delay_ms; /* of each */
+    bool drop_in;          /* drops what the node would receive */
+    bool drop_out;         /* drops what the node sends */
+    unsigned loss_percent; /* of 100 datagrams */
+    unsigned delay_ms;     /* added to each datagram */
 };
 
-/* Opens the proxy; the first of its addresses and of the nodes' are given.
- * The seed draws which datagrams are lost. */
-void soak_link_open(uint32_t proxies, uint32_t nodes, int node_count,
+/* Opens a proxy socket per node. Proxies use consecutive addresses from
+ * first_proxy on, nodes from first_node on. The seed selects the datagrams
+ * that are lost. */
+void soak_link_open(uint32_t first_proxy, uint32_t first_node, int node_count,
                     uint16_t port, unsigned seed);
 
-/* A node's link, to be harmed or healed. */
+/* The link of a node; the caller may modify it. */
 struct soak_link *soak_link_of(int n);
 
-/* Cuts two halls from each other until a time: nodes, and nodes from hosts. */
-void soak_link_cut_halls(int one, int other, uint64_t until);
+/* Partitions two halls from each other until a time: no datagrams between
+ * their nodes, nor from nodes to hosts. */
+void soak_link_partition_halls(int one, int other, uint64_t until);
 
-/* Says whether a node is cut from a hall now. */
-bool soak_link_is_cut(int n, int hall);
+/* Whether a node cannot reach a hall now. */
+bool soak_link_is_partitioned(int n, int hall);
 
-/* Adds the sockets to poll. */
+/* Fills fds for poll(2); returns how many. */
 nfds_t soak_link_poll(struct pollfd *fds);
 
-/* Takes what nodes sent, delivers what is due. */
+/* Forwards received datagrams and those whose delay has expired. */
 void soak_link_run(void);
 
 #endif
--- a/tools/soak/soak.h
+++ b/tools/soak/soak.h
@@ -1,7 +1,7 @@
 /**
  * @file soak.h
- * What the soak's parts need of soak.c, which owns the processes, the faults
- * and the count of broken promises.
+ * Interface of soak.c to the modules of the soak: reporting of violations,
+ * sockets, and the condition under which time bounds are checked.
  */
 #ifndef RIDGERIDGE_SOAK_H
 #define RIDGERIDGE_SOAK_H
@@ -10,14 +10,16 @@
 #include <stdint.h>
 
 #define SOAK_NODES_MAX 24
-#define SOAK_CALM_MS 5000 /* without a fault, all that is timed must hold */
+#define SOAK_STABLE_MS                                                        \
+    5000 /* time bounds hold this long after the last fault */
 
-/* Notes a broken promise. */
-void soak_broken(const char *format, ...)
+/* Reports a violated invariant; the soak fails. */
+void soak_violation(const char *format, ...)
     __attribute__((format(printf, 1, 2)));
-/* Opens a UDP socket; ends the soak when it cannot. */
+/* Opens a nonblocking UDP socket; exits with status 2 on failure. */
 int soak_socket(uint32_t address, uint16_t port);
-/* Says whether timed promises hold at a node: no fault was near. */
-bool soak_is_calm(uint32_t node_address);
+/* Whether neither the node nor the cluster had a fault within
+ * SOAK_STABLE_MS. */
+bool soak_is_stable(uint32_t node_address);
 
 #endif
--- a/tools/standin-caller.c
+++ b/tools/standin-caller.c
@@ -1,8 +1,9 @@
 /*
- * Stand-in for callers. `flows` opens TCP-like or UDP flows through the
- * fabric, keeps them talking at random and counts those that break: reset, or
- * answered by another upstream than before. `requests` sends keyed requests
- * to random entries, some twice at once, and writes how each ended.
+ * Simulated callers. "flows" opens TCP or UDP flows through the fabric, sends
+ * on them at random and counts broken ones: reset, or answered by another
+ * upstream than before. "requests" sends requests with idempotency keys to
+ * random entries, some of them twice concurrently, and writes their outcomes
+ * to a file.
  *
  * usage: standin-caller flows ADDRESS FABRIC SERVICE:PORT tcp|udp COUNT
  *                       SECONDS
@@ -26,7 +27,7 @@
 #define TCP_ACK 0x10
 #define PAYLOAD 32
 #define NAME 16
-#define SYN_AGAIN_MS 1000
+#define SYN_RETRY_MS 1000
 #define ENTRIES_MAX 64
 #define UPSTREAMS_MAX 64
 
@@ -34,7 +35,7 @@
 
 enum flow_state { FLOW_OPENING, FLOW_OPEN, FLOW_BROKEN };
 
-/* One flow of a caller. */
+/* A flow of a caller. */
 struct caller_flow {
     enum flow_state state;
     uint64_t syn_at;
@@ -56,7 +57,6 @@
     int broken;
 } caller;
 
-/* Monotonic milliseconds. */
 static uint64_t
 now_ms(void)
 {
@@ -66,7 +66,6 @@
     return (uint64_t)now.tv_sec * 1000 + (uint64_t)now.tv_nsec / 1000000;
 }
 
-/* Writes 16 bits. */
 static void
 put16(uint8_t *at, unsigned value)
 {
@@ -74,7 +73,6 @@
     at[1] = (uint8_t)value;
 }
 
-/* Writes 32 bits. */
 static void
 put32(uint8_t *at, uint32_t value)
 {
@@ -82,7 +80,6 @@
     put16(at + 2, value & 0xffff);
 }
 
-/* Sends one packet of a flow. */
 static void
 send_flow(int index, uint8_t flags)
 {
@@ -116,9 +113,9 @@
     caller.sent++;
 }
 
-/* Opens a flow, or talks on it. */
+/* Sends on an open flow; repeats the SYN of one that is opening. */
 static void
-talk(int index, uint64_t now)
+send_on_flow(int index, uint64_t now)
 {
     struct caller_flow *flow = &caller.flows[index];
 
@@ -127,7 +124,7 @@
     }
     if (flow->state == FLOW_OPENING) {
         if (now >= flow->syn_at) {
-            flow->syn_at = now + SYN_AGAIN_MS;
+            flow->syn_at = now + SYN_RETRY_MS;
             send_flow(index, TCP_SYN);
         }
         return;
@@ -135,9 +132,9 @@
     send_flow(index, TCP_ACK);
 }
 
-/* Notes that a flow broke. */
+/* Counts and reports a broken flow. */
 static void
-break_flow(struct caller_flow *flow, int index, const char *why)
+fail_flow(struct caller_flow *flow, int index, const char *why)
 {
     flow->state = FLOW_BROKEN;
     caller.broken++;
@@ -145,9 +142,9 @@
                   10000 + index, why, flow->upstream);
 }
 
-/* Takes an answer. */
+/* Handles a reply packet. */
 static void
-take_answer(uint8_t *bytes, size_t length)
+handle_reply(uint8_t *bytes, size_t length)
 {
     struct packet packet;
     struct caller_flow *flow;
@@ -174,31 +171,30 @@
         return;
     }
     if (flow->state == FLOW_OPEN && caller.tcp && packet.closing) {
-        break_flow(flow, index, "reset");
+        fail_flow(flow, index, "reset");
     }
     else if (flow->state == FLOW_OPEN &&
              strncmp(flow->upstream, name, NAME) != 0) {
-        break_flow(flow, index, "moved");
+        fail_flow(flow, index, "moved");
     }
 }
 
-/* Takes all answers that are there. */
 static void
-take_answers(void)
+drain_replies(void)
 {
     uint8_t buffer[PACKET_MAX];
     ssize_t n;
 
     while ((n = recv(caller.fd, buffer, sizeof(buffer), MSG_DONTWAIT)) > 0) {
-        take_answer(buffer, (size_t)n);
+        handle_reply(buffer, (size_t)n);
     }
 }
 
-/* Prints how flows are spread over upstreams, and the imbalance. */
+/* Prints the counters and the ratio of the busiest upstream to the mean. */
 static void
 print_flows(void)
 {
-    GHashTable *by = g_hash_table_new(g_str_hash, g_str_equal);
+    GHashTable *flows_by_upstream = g_hash_table_new(g_str_hash, g_str_equal);
     GHashTableIter iter;
     gpointer value;
     int open = 0;
@@ -212,23 +208,27 @@
         }
         open++;
         g_hash_table_insert(
-            by, name,
-            GINT_TO_POINTER(GPOINTER_TO_INT(g_hash_table_lookup(by, name)) +
-                            1));
+            flows_by_upstream, name,
+            GINT_TO_POINTER(
+                GPOINTER_TO_INT(g_hash_table_lookup(flows_by_upstream, name)) +
+                1));
     }
-    g_hash_table_iter_init(&iter, by);
+    g_hash_table_iter_init(&iter, flows_by_upstream);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         max = MAX(max, GPOINTER_TO_INT(value));
     }
-    (void)printf("flows=%d opened=%d broken=%d sent=%lu received=%lu "
-                 "corrupt=%lu upstreams=%u imbalance=%.2f\n",
-                 caller.count, open, caller.broken, caller.sent,
-                 caller.received, caller.corrupt, g_hash_table_size(by),
-                 open ? (double)max * g_hash_table_size(by) / open : 0.0);
-    g_hash_table_destroy(by);
+    (void)printf(
+        "flows=%d opened=%d broken=%d sent=%lu received=%lu "
+        "corrupt=%lu upstreams=%u imbalance=%.2f\n",
+        caller.count, open, caller.broken, caller.sent, caller.received,
+        caller.corrupt, g_hash_table_size(flows_by_upstream),
+        open ? (double)max * g_hash_table_size(flows_by_upstream) / open
+             : 0.0);
+    g_hash_table_destroy(flows_by_upstream);
 }
 
-/* Opens flows over the first fifth of the time, then keeps them talking. */
+/* Opens flows over the first three fifths of the time and sends on them
+ * until its end. Returns the exit status. */
 static int
 run_flows(char **argv)
 {
@@ -256,19 +256,19 @@
     }
     while (now_ms() < started + length) {
         uint64_t now = now_ms();
-        uint64_t passed = now - started;
-        int allowed =
-            (int)((uint64_t)caller.count * passed / (length * 3 / 5));
+        uint64_t elapsed = now - started;
+        int open_count =
+            (int)((uint64_t)caller.count * elapsed / (length * 3 / 5));
 
-        allowed = MIN(allowed, caller.count);
-        for (int i = 0; i < 40 && allowed > 0; i++) {
-            talk((int)(random() % allowed), now);
+        open_count = MIN(open_count, caller.count);
+        for (int i = 0; i < 40 && open_count > 0; i++) {
+            send_on_flow((int)(random() % open_count), now);
         }
-        take_answers();
+        drain_replies();
         g_usleep(2000);
     }
     g_usleep(100000);
-    take_answers();
+    drain_replies();
     print_flows();
     g_strfreev(service);
     return caller.broken > 0 || caller.corrupt > 0;
@@ -289,23 +289,23 @@
     int unknown;
     int wrong;
     int refused_slow;
-} load;
+} request_load;
 
-/* Gathers a body. */
+/* Write callback of libcurl. */
 static size_t
-on_body(char *bytes, size_t size, size_t count, void *data)
+append_body(char *bytes, size_t size, size_t count, void *data)
 {
     g_string_append_len(data, bytes, (gssize)(size * count));
     return size * count;
 }
 
-/* Picks an entry from the list. */
+/* Picks a random address from the entries file. */
 static bool
 pick_entry(char *out, size_t size)
 {
     char lines[ENTRIES_MAX][64];
     size_t count = 0;
-    FILE *file = fopen(load.entries, "re");
+    FILE *file = fopen(request_load.entries, "re");
 
     if (file == NULL) {
         return false;
@@ -321,9 +321,10 @@
     return true;
 }
 
-/* Sends one request; returns its HTTP status, 0 when nobody answered. */
+/* Sends a request; returns the HTTP status, 0 on a timeout or connection
+ * error. */
 static long
-send_request(const char *key, const char *body, GString *answer)
+send_request(const char *key, const char *body, GString *response)
 {
     struct curl_slist *headers = NULL;
     CURL *curl = curl_easy_init();
@@ -335,17 +336,18 @@
         curl_easy_cleanup(curl);
         return 0;
     }
-    (void)snprintf(line, sizeof(line), "http://%s:%d/save", entry, load.port);
+    (void)snprintf(line, sizeof(line), "http://%s:%d/save", entry,
+                   request_load.port);
     (void)curl_easy_setopt(curl, CURLOPT_URL, line);
-    (void)snprintf(line, sizeof(line), "Host: %s", load.host);
+    (void)snprintf(line, sizeof(line), "Host: %s", request_load.host);
     headers = curl_slist_append(headers, line);
     (void)snprintf(line, sizeof(line), "Idempotency-Key: %s", key);
     headers = curl_slist_append(headers, line);
     headers = curl_slist_append(headers, "Content-Type: text/plain");
     (void)curl_easy_setopt(curl, CURLOPT_HTTPHEADER, headers);
     (void)curl_easy_setopt(curl, CURLOPT_POSTFIELDS, body);
-    (void)curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, on_body);
-    (void)curl_easy_setopt(curl, CURLOPT_WRITEDATA, answer);
+    (void)curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, append_body);
+    (void)curl_easy_setopt(curl, CURLOPT_WRITEDATA, response);
     (void)curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, 15000L);
     (void)curl_easy_setopt(curl, CURLOPT_CONNECTTIMEOUT_MS, 500L);
     (void)curl_easy_setopt(curl, CURLOPT_NOSIGNAL, 1L);
@@ -359,11 +361,11 @@
 
 #define TITLE 32
 
-/* Reads the title of a problem document. */
+/* Parses the title of a problem document (RFC 9457). */
 static const char *
-title_of(const char *answer, char title[TITLE])
+parse_title(const char *response, char title[TITLE])
 {
-    const char *at = strstr(answer, "\"title\": \"");
+    const char *at = strstr(response, "\"title\": \"");
 
     title[0] = '\0';
     if (at != NULL) {
@@ -372,92 +374,94 @@
     return title;
 }
 
-/* Counts and writes how a request ended. */
+/* Counts an outcome and writes it to the outcomes file. */
 static void
-note_end(const char *key, long status, const char *answer)
+record_outcome(const char *key, long status, const char *response)
 {
     const char *outcome = "unknown";
-    bool mine = strstr(answer, key) != NULL;
+    bool own_body = strstr(response, key) != NULL;
     char title[TITLE];
 
-    g_mutex_lock(&load.lock);
+    g_mutex_lock(&request_load.lock);
     if (status == 200) {
-        outcome = mine ? "answered" : "wrong";
-        load.answered += mine;
-        load.wrong += !mine;
+        outcome = own_body ? "answered" : "wrong";
+        request_load.answered += own_body;
+        request_load.wrong += !own_body;
     }
-    else if (strstr(answer, "\"not-run\"") != NULL) {
+    else if (strstr(response, "\"not-run\"") != NULL) {
         outcome = "not-run";
-        load.not_run++;
+        request_load.not_run++;
     }
     else {
-        load.unknown++;
+        request_load.unknown++;
     }
-    (void)fprintf(load.outcomes, "%s %s %ld %s\n", outcome, key, status,
-                  status == 200 ? "" : title_of(answer, title));
-    g_mutex_unlock(&load.lock);
+    (void)fprintf(request_load.outcomes, "%s %s %ld %s\n", outcome, key,
+                  status, status == 200 ? "" : parse_title(response, title));
+    g_mutex_unlock(&request_load.lock);
 }
 
-/* A request that is sent a second time at the same moment. */
-struct twin {
+/* A request sent concurrently with another of the same key. */
+struct duplicate_request {
     const char *key;
     const char *body;
-    GString *answer;
+    GString *response;
     long status;
 };
 
-/* Sends the twin. */
 static gpointer
-run_twin(gpointer data)
+send_duplicate(gpointer data)
 {
-    struct twin *twin = data;
+    struct duplicate_request *duplicate = data;
 
-    twin->status = send_request(twin->key, twin->body, twin->answer);
+    duplicate->status =
+        send_request(duplicate->key, duplicate->body, duplicate->response);
     return NULL;
 }
 
-/* Sends one request twice at once, to two entries perhaps. Both callers must
- * learn the same: an answer for one and "not run" for the other is wrong. */
+/* Sends a request twice concurrently. Different bodies, or a success and a
+ * "not-run", count as a wrong response. */
 static void
-send_twins(const char *key, const char *body)
+send_concurrently(const char *key, const char *body)
 {
-    struct twin twin = {.key = key, .body = body};
-    GString *answer = g_string_new("");
+    struct duplicate_request duplicate = {.key = key, .body = body};
+    GString *response = g_string_new("");
     GThread *thread;
     long status;
-    bool split;
-    bool differ;
+    bool outcomes_differ;
+    bool bodies_differ;
 
-    twin.answer = g_string_new("");
-    thread = g_thread_new("twin", run_twin, &twin);
-    status = send_request(key, body, answer);
+    duplicate.response = g_string_new("");
+    thread = g_thread_new("twin", send_duplicate, &duplicate);
+    status = send_request(key, body, response);
     (void)g_thread_join(thread);
-    split = status != 0 && twin.status != 0 &&
-            (status == 200) != (twin.status == 200) &&
-            (strstr(answer->str, "\"not-run\"") != NULL ||
-             strstr(twin.answer->str, "\"not-run\"") != NULL);
-    differ = status == 200 && twin.status == 200 &&
-             strcmp(answer->str, twin.answer->str) != 0;
-    if (split || differ) {
-        note_end(key, 200, "");
+    outcomes_differ = status != 0 && duplicate.status != 0 &&
+                      (status == 200) != (duplicate.status == 200) &&
+                      (strstr(response->str, "\"not-run\"") != NULL ||
+                       strstr(duplicate.response->str, "\"not-run\"") != NULL);
+    bodies_differ = status == 200 && duplicate.status == 200 &&
+                    strcmp(response->str, duplicate.response->str) != 0;
+    if (outcomes_differ || bodies_differ) {
+        record_outcome(key, 200, "");
     }
     else {
-        note_end(key, MAX(status, twin.status),
-                 status >= twin.status ? answer->str : twin.answer->str);
+        record_outcome(key, MAX(status, duplicate.status),
+                       status >= duplicate.status ? response->str
+                                                  : duplicate.response->str);
     }
-    g_string_free(answer, TRUE);
-    g_string_free(twin.answer, TRUE);
+    g_string_free(response, TRUE);
+    g_string_free(duplicate.response, TRUE);
 }
 
-/* Sends requests until the time is over; each is sent until some entry
- * answers, with the same key, and one in ten is sent once more. */
+/* Thread that sends requests until the end. A request without a response is
+ * retried with the same key, up to 20 attempts; one answered request in ten
+ * is repeated and must get the same body. */
 static gpointer
 run_worker(gpointer data)
 {
     int worker = GPOINTER_TO_INT(data);
 
-    for (int i = 0; now_ms() < load.end; i++) {
-        GString *answer = g_string_new("");
+    for (int i = 0; now_ms() < request_load.end; i++) {
+        GString *response = g_string_new("");
         char key[64];
         char body[80];
         long status = 0;
@@ -469,44 +473,45 @@
             if (try > 0) {
                 g_usleep(200000);
             }
-            g_string_truncate(answer, 0);
-            status = send_request(key, body, answer);
+            g_string_truncate(response, 0);
+            status = send_request(key, body, response);
         }
-        note_end(key, status, answer->str);
+        record_outcome(key, status, response->str);
         if (i % 10 == 0 && status == 200) {
-            GString *again = g_string_new("");
-            long second = send_request(key, body, again);
+            GString *repeated = g_string_new("");
+            long repeated_status = send_request(key, body, repeated);
 
-            if (second == 200 && strcmp(again->str, answer->str) != 0) {
-                note_end(key, 200, "");
+            if (repeated_status == 200 &&
+                strcmp(repeated->str, response->str) != 0) {
+                record_outcome(key, 200, "");
             }
-            g_string_free(again, TRUE);
+            g_string_free(repeated, TRUE);
         }
-        g_string_free(answer, TRUE);
+        g_string_free(response, TRUE);
         if (i % 5 == 0) {
             (void)snprintf(key, sizeof(key), "twin-%d-%d-%d", (int)getpid(),
                            worker, i);
-            send_twins(key, body);
+            send_concurrently(key, body);
         }
-        g_usleep((gulong)load.pause_ms * 1000);
+        g_usleep((gulong)request_load.pause_ms * 1000);
     }
     return NULL;
 }
 
-/* Runs the workers and prints the counts. */
+/* Runs the threads and prints the counters. Returns the exit status. */
 static int
 run_requests(char **argv)
 {
     int threads = atoi(argv[5]);
     GThread **workers = g_new(GThread *, threads);
 
-    load.entries = argv[2];
-    load.port = atoi(argv[3]);
-    load.host = argv[4];
-    load.end = now_ms() + (uint64_t)atoi(argv[6]) * 1000;
-    load.pause_ms = atoi(argv[7]);
-    load.outcomes = fopen(argv[8], "we");
-    if (load.outcomes == NULL) {
+    request_load.entries = argv[2];
+    request_load.port = atoi(argv[3]);
+    request_load.host = argv[4];
+    request_load.end = now_ms() + (uint64_t)atoi(argv[6]) * 1000;
+    request_load.pause_ms = atoi(argv[7]);
+    request_load.outcomes = fopen(argv[8], "we");
+    if (request_load.outcomes == NULL) {
         perror("standin-caller");
         g_free(workers);
         return 2;
@@ -518,15 +523,16 @@
     for (int i = 0; i < threads; i++) {
         (void)g_thread_join(workers[i]);
     }
-    (void)fclose(load.outcomes);
+    (void)fclose(request_load.outcomes);
     (void)printf("requests=%d answered=%d not_run=%d unknown=%d wrong=%d\n",
-                 load.answered + load.not_run + load.unknown + load.wrong,
-                 load.answered, load.not_run, load.unknown, load.wrong);
+                 request_load.answered + request_load.not_run +
+                     request_load.unknown + request_load.wrong,
+                 request_load.answered, request_load.not_run,
+                 request_load.unknown, request_load.wrong);
     g_free(workers);
-    return load.wrong > 0;
+    return request_load.wrong > 0;
 }
 
-/* Picks the mode. */
 int
 main(int argc, char **argv)
 {
--- a/tools/standin-fabric.c
+++ b/tools/standin-fabric.c
@@ -1,7 +1,8 @@
 /*
- * Stand-in for the platform's fabric: packets from callers and upstreams go
- * to an entry picked at random from a list that lags; packets from entries go
- * to the address in their inner header. Geneve on UDP port 6081 everywhere.
+ * Simulated platform fabric: forwards packets of callers and upstreams to a
+ * random entry of a list that is reread with a delay, and packets of entries
+ * to the destination of their inner header. Geneve (RFC 8926) on UDP port
+ * 6081.
  *
  * usage: standin-fabric ADDRESS ENTRIES-FILE LAG-SECONDS
  */
@@ -23,14 +24,13 @@
 
 static volatile sig_atomic_t running = 1;
 
-/* The entries, as the list said some time ago. */
+/* The entries file at its last read. */
 static struct {
     uint32_t address[ENTRIES_MAX];
     size_t count;
     time_t read_at;
 } entries;
 
-/* Ends the loop. */
 static void
 on_signal(int number)
 {
@@ -38,7 +38,7 @@
     running = 0;
 }
 
-/* Reads the list again when it is older than the lag. */
+/* Rereads the entries file if the last read is older than the lag. */
 static void
 read_entries(const char *path, int lag)
 {
@@ -63,17 +63,16 @@
     (void)fclose(file);
 }
 
-/* Says whether a packet came from an entry; entries live in 127.0.1.0/24,
- * listed or not. */
+/* Whether an address is an entry's (127.0.1.0/24), listed or not. */
 static bool
 is_entry(uint32_t address)
 {
     return address >> 8 == 0x7f0001;
 }
 
-/* Picks where a packet goes. */
+/* The next hop of a packet, 0: drop it. */
 static uint32_t
-route(uint32_t from, uint8_t *bytes, size_t length)
+next_hop(uint32_t from, uint8_t *bytes, size_t length)
 {
     struct packet packet;
 
@@ -86,9 +85,9 @@
     return entries.address[(size_t)random() % entries.count];
 }
 
-/* Receives a batch and sends it on. */
+/* Receives a batch of packets and forwards it. */
 static void
-relay(int fd)
+forward_batch(int fd)
 {
     static uint8_t buffers[BATCH][PACKET_MAX];
     struct sockaddr_in from[BATCH];
@@ -108,8 +107,8 @@
     }
     count = recvmmsg(fd, messages, BATCH, MSG_WAITFORONE, NULL);
     for (int i = 0; i < count; i++) {
-        uint32_t target = route(ntohl(from[i].sin_addr.s_addr), buffers[i],
-                                messages[i].msg_len);
+        uint32_t target = next_hop(ntohl(from[i].sin_addr.s_addr), buffers[i],
+                                   messages[i].msg_len);
 
         if (target == 0) {
             continue;
@@ -131,13 +130,12 @@
     }
 }
 
-/* Relays until a signal. */
 int
 main(int argc, char **argv)
 {
     struct sockaddr_in at = {.sin_family = AF_INET,
                              .sin_port = htons(FABRIC_PORT)};
-    struct timeval wait = {.tv_usec = 100000};
+    struct timeval timeout = {.tv_usec = 100000};
     int size = 8 * 1024 * 1024;
     int fd = socket(AF_INET, SOCK_DGRAM, 0);
 
@@ -150,14 +148,14 @@
     (void)signal(SIGINT, on_signal);
     at.sin_addr.s_addr = inet_addr(argv[1]);
     (void)setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &size, sizeof(size));
-    (void)setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &wait, sizeof(wait));
+    (void)setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof(timeout));
     if (bind(fd, (struct sockaddr *)&at, sizeof(at)) != 0) {
         perror("standin-fabric: bind");
         return 2;
     }
     while (running) {
         read_entries(argv[2], atoi(argv[3]));
-        relay(fd);
+        forward_batch(fd);
     }
     return 0;
 }
--- a/tools/standin-relay.c
+++ b/tools/standin-relay.c
@@ -1,6 +1,5 @@
 /*
- * A plain UDP relay: batches in, the same batches out, no decision. What an
- * entry's forwarding is compared with.
+ * UDP relay without any decision: the baseline of tools/measure-forward.
  *
  * usage: standin-relay ADDRESS TO
  */
@@ -16,7 +15,6 @@
 
 static volatile sig_atomic_t running = 1;
 
-/* Ends the loop. */
 static void
 on_signal(int number)
 {
@@ -24,14 +22,13 @@
     running = 0;
 }
 
-/* Relays until a signal. */
 int
 main(int argc, char **argv)
 {
     static unsigned char buffers[BATCH][PACKET_MAX];
     struct sockaddr_in at = {.sin_family = AF_INET, .sin_port = htons(PORT)};
     struct sockaddr_in to = at;
-    struct timeval wait = {.tv_usec = 100000};
+    struct timeval timeout = {.tv_usec = 100000};
     struct mmsghdr messages[BATCH];
     struct iovec parts[BATCH];
     int size = 4 * 1024 * 1024;
@@ -45,7 +42,7 @@
     to.sin_addr.s_addr = inet_addr(argv[2]);
     (void)signal(SIGTERM, on_signal);
     (void)setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &size, sizeof(size));
-    (void)setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &wait, sizeof(wait));
+    (void)setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof(timeout));
     if (bind(fd, (struct sockaddr *)&at, sizeof(at)) != 0) {
         perror("standin-relay: bind");
         return 2;
--- a/tools/standin-upstream.c
+++ b/tools/standin-upstream.c
@@ -1,8 +1,9 @@
 /*
- * Stand-in for an upstream VM: flows over the fabric (a table of connections;
- * a packet of a connection it does not know is reset) and requests over HTTP
- * (slots, shed with 429, a cold start, truncated answers on demand; health and
- * load pages that mislead). Writes a line for each run of a keyed request.
+ * Simulated upstream VM. Serves flows through the fabric from a connection
+ * table and resets packets of unknown connections. Serves HTTP requests with a
+ * limited number of slots (429 when all are taken), a slow start, truncated
+ * and large bodies on demand, and health and load pages that are misleading on
+ * purpose. Appends the key of each executed request to a file.
  *
  * usage: standin-upstream NAME ADDRESS FABRIC FLOW-PORT HTTP-PORT SLOTS
  *                         SERVICE-MS RUNS-FILE
@@ -21,9 +22,9 @@
 #include "packet.h"
 
 #define FABRIC_PORT 6081
-#define COLD_SECONDS 2
-#define CUT_LENGTH 1000
-#define LARGE_LENGTH 40000 /* more than an entry records */
+#define WARMUP_SECONDS 2
+#define TRUNCATED_LENGTH 1000
+#define LARGE_LENGTH 40000 /* above the limit of a recorded response */
 #define TCP_SYN 0x02
 #define TCP_RST 0x04
 #define TCP_ACK 0x10
@@ -48,7 +49,6 @@
     unsigned long sheds;
 } self;
 
-/* Ends the loop. */
 static void
 on_signal(int number)
 {
@@ -56,9 +56,8 @@
     running = 0;
 }
 
-/* Turns a received packet around: addresses and ports swapped. */
 static void
-turn_around(struct packet *packet)
+swap_endpoints(struct packet *packet)
 {
     uint32_t source = packet->source;
     uint16_t source_port = packet->source_port;
@@ -67,7 +66,7 @@
     packet_set_destination(packet, source, source_port);
 }
 
-/* Sends an answer into the fabric. */
+/* Sends a packet to the fabric. */
 static void
 send_packet(struct packet *packet)
 {
@@ -80,9 +79,9 @@
                  sizeof(self.fabric));
 }
 
-/* Writes this upstream's name over the end of the payload. */
+/* Overwrites the end of the payload with this upstream's name. */
 static void
-sign_payload(struct packet *packet)
+write_name(struct packet *packet)
 {
     char name[16] = "";
 
@@ -92,19 +91,19 @@
     }
 }
 
-/* Answers a TCP segment: SYN opens, unknown connections are reset. */
+/* Handles a TCP segment: accepts SYNs, resets unknown connections. */
 static void
-take_tcp(struct packet *packet)
+handle_tcp(struct packet *packet)
 {
     gpointer key =
         GSIZE_TO_POINTER(((gsize)packet->source << 16) | packet->source_port);
-    bool known = g_hash_table_contains(self.connections, key);
+    bool has_connection = g_hash_table_contains(self.connections, key);
 
     if (packet->first) {
         g_hash_table_add(self.connections, key);
         packet->transport[13] = TCP_SYN | TCP_ACK;
     }
-    else if (!known) {
+    else if (!has_connection) {
         self.resets++;
         packet->transport[13] = TCP_RST;
     }
@@ -114,14 +113,14 @@
         }
         packet->transport[13] = TCP_ACK;
     }
-    turn_around(packet);
-    sign_payload(packet);
+    swap_endpoints(packet);
+    write_name(packet);
     send_packet(packet);
 }
 
-/* Answers one packet. */
+/* Handles a packet from the fabric. */
 static void
-take_packet(uint8_t *bytes, size_t length)
+handle_packet(uint8_t *bytes, size_t length)
 {
     struct packet packet;
 
@@ -135,17 +134,18 @@
         return;
     }
     if (packet.protocol == PACKET_TCP) {
-        take_tcp(&packet);
+        handle_tcp(&packet);
         return;
     }
-    turn_around(&packet);
-    sign_payload(&packet);
+    swap_endpoints(&packet);
+    write_name(&packet);
     send_packet(&packet);
 }
 
-/* Gives the first bytes of an answer, then breaks the connection. */
+/* Body callback: fails after the first bytes, so that the connection
+ * closes. */
 static ssize_t
-cut_answer(void *unused, uint64_t offset, char *out, size_t max)
+stream_truncated(void *unused, uint64_t offset, char *out, size_t max)
 {
     (void)unused;
     if (offset > 0) {
@@ -155,16 +155,18 @@
     return (ssize_t)MIN(max, 10);
 }
 
-/* Answers by the target: /cut in part, /large at length, else in short. */
+/* Responds by target: /cut truncated, /large with LARGE_LENGTH bytes, else
+ * JSON. */
 static void
-answer(const struct _u_request *request, struct _u_response *response,
-       const char *key)
+respond(const struct _u_request *request, struct _u_response *response,
+        const char *key)
 {
     char *body;
 
     if (g_str_has_suffix(request->http_url, "/cut")) {
-        (void)ulfius_set_stream_response(response, 200, &cut_answer, NULL,
-                                         CUT_LENGTH, CUT_LENGTH, NULL);
+        (void)ulfius_set_stream_response(response, 200, &stream_truncated,
+                                         NULL, TRUNCATED_LENGTH,
+                                         TRUNCATED_LENGTH, NULL);
         return;
     }
     if (g_str_has_suffix(request->http_url, "/large")) {
@@ -180,7 +182,7 @@
     g_free(body);
 }
 
-/* Runs one request: takes a slot or sheds, works, answers. */
+/* Handles a request: 429 without a free slot or after the deadline. */
 static int
 on_request(const struct _u_request *request, struct _u_response *response,
            void *unused)
@@ -188,7 +190,7 @@
     const char *key = u_map_get_case(request->map_header, "Idempotency-Key");
     const char *deadline =
         u_map_get_case(request->map_header, "Request-Deadline");
-    bool cold = time(NULL) < self.started + COLD_SECONDS;
+    bool warming_up = time(NULL) < self.started + WARMUP_SECONDS;
 
     (void)unused;
     if (deadline != NULL &&
@@ -208,13 +210,13 @@
         (void)fflush(self.runs);
         g_mutex_unlock(&self.lock);
     }
-    g_usleep((gulong)self.service_ms * 1000 * (cold ? 3 : 1));
-    answer(request, response, key);
+    g_usleep((gulong)self.service_ms * 1000 * (warming_up ? 3 : 1));
+    respond(request, response, key);
     (void)g_atomic_int_add(&self.busy, -1);
     return U_CALLBACK_COMPLETE;
 }
 
-/* The health page: says "ok" whatever happens. */
+/* Always healthy, also under overload. */
 static int
 on_health(const struct _u_request *request, struct _u_response *response,
           void *unused)
@@ -225,7 +227,7 @@
     return U_CALLBACK_COMPLETE;
 }
 
-/* The load page: what was busy ten seconds ago. */
+/* Returns the busy slots of up to ten seconds ago. */
 static int
 on_load(const struct _u_request *request, struct _u_response *response,
         void *unused)
@@ -245,14 +247,13 @@
     return U_CALLBACK_COMPLETE;
 }
 
-/* Opens the flow socket. */
 static bool
 open_flows(const char *address, const char *fabric)
 {
     struct sockaddr_in at = {.sin_family = AF_INET,
                              .sin_port = htons(FABRIC_PORT),
                              .sin_addr.s_addr = inet_addr(address)};
-    struct timeval wait = {.tv_usec = 100000};
+    struct timeval timeout = {.tv_usec = 100000};
     int size = 4 * 1024 * 1024;
 
     self.fabric = (struct sockaddr_in){.sin_family = AF_INET,
@@ -261,11 +262,11 @@
     self.address = ntohl(inet_addr(address));
     self.fd = socket(AF_INET, SOCK_DGRAM, 0);
     (void)setsockopt(self.fd, SOL_SOCKET, SO_RCVBUF, &size, sizeof(size));
-    (void)setsockopt(self.fd, SOL_SOCKET, SO_RCVTIMEO, &wait, sizeof(wait));
+    (void)setsockopt(self.fd, SOL_SOCKET, SO_RCVTIMEO, &timeout,
+                     sizeof(timeout));
     return bind(self.fd, (struct sockaddr *)&at, sizeof(at)) == 0;
 }
 
-/* Serves until a signal, then prints what it counted. */
 int
 main(int argc, char **argv)
 {
@@ -307,7 +308,7 @@
         ssize_t n = recv(self.fd, buffer + PACKET_HEADROOM, PACKET_MAX, 0);
 
         if (n > 0) {
-            take_packet(buffer + PACKET_HEADROOM, (size_t)n);
+            handle_packet(buffer + PACKET_HEADROOM, (size_t)n);
         }
     }
     (void)ulfius_stop_framework(&http);
