--- a/address.c
+++ b/address.c
@@ -1,4 +1,4 @@
-/* IPv4 addresses and ports as text. */
+/* Conversion of IPv4 endpoints to and from text. */
 #include "address.h"
 
 #include <arpa/inet.h>
@@ -6,7 +6,6 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Writes an address and port. */
 const char *
 address_format(uint32_t address, uint16_t port, char out[ADDRESS_TEXT])
 {
@@ -16,7 +15,6 @@
     return out;
 }
 
-/* Reads an address and port. */
 bool
 address_parse(const char *text, uint32_t *address, uint16_t *port)
 {
--- a/address.h
+++ b/address.h
@@ -1,6 +1,6 @@
 /**
  * @file address.h
- * IPv4 addresses and ports as text.
+ * IPv4 endpoints as text, "a.b.c.d:port". Addresses are in host order.
  */
 #ifndef RIDGERIDGE_ADDRESS_H
 #define RIDGERIDGE_ADDRESS_H
@@ -8,13 +8,13 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define ADDRESS_TEXT 24 /**< bytes of "255.255.255.255:65535" and its end */
+#define ADDRESS_TEXT 24 /**< size of a buffer for an endpoint */
 
-/** Writes "a.b.c.d:port"; returns `out`. `address` is in host order. */
+/** @return `out` */
 const char *address_format(uint32_t address, uint16_t port,
                            char out[ADDRESS_TEXT]);
 
-/** Reads "a.b.c.d:port"; false when it is not one. */
+/** False if the text is malformed or the port is 0. */
 bool address_parse(const char *text, uint32_t *address, uint16_t *port);
 
 #endif
--- a/client.c
+++ b/client.c
@@ -1,4 +1,4 @@
-/* HTTP of operators' commands. */
+/* HTTP client of the operator commands, on libcurl. */
 #include "client.h"
 
 #include <glib.h>
@@ -8,10 +8,10 @@
 #include "address.h"
 #include "library.h"
 
-#define CALL_MS 5000L
-#define CONNECT_MS 500L
-#define ROUNDS 25
-#define PAUSE_US 200000
+#define TIMEOUT_MS 5000L
+#define CONNECT_TIMEOUT_MS 500L
+#define ATTEMPTS 25 /* each asks all control VMs */
+#define RETRY_PAUSE_US 200000
 
 #define AT(field) offsetof(struct client_credentials, field)
 static const struct schema_field credentials_fields[] = {
@@ -44,7 +44,6 @@
     .size = sizeof(struct client_credentials),
     .fields = credentials_fields};
 
-/* Reads a credentials file. */
 enum status_kind
 client_load_credentials(const char *path, struct client_credentials *out,
                         struct status *st)
@@ -60,7 +59,6 @@
     return st->kind;
 }
 
-/* Gathers the body. */
 static size_t
 on_body(char *bytes, size_t size, size_t count, void *data)
 {
@@ -68,16 +66,15 @@
     return size * count;
 }
 
-/* One HTTP call. */
 void
-client_call(const char *method, const char *url,
-            const struct client_credentials *credentials,
-            const char *submission, const char *body, size_t length,
-            struct client_reply *out)
+client_request(const char *method, const char *url,
+               const struct client_credentials *credentials,
+               const char *submission, const char *body, size_t length,
+               struct client_reply *out)
 {
     CURL *curl = library_curl.init();
     struct curl_slist *headers = NULL;
-    GString *answer = g_string_new("");
+    GString *body_text = g_string_new("");
     char line[256];
 
     out->status = 0;
@@ -102,22 +99,23 @@
                                   (curl_off_t)length);
     }
     (void)library_curl.setopt(curl, CURLOPT_WRITEFUNCTION, on_body);
-    (void)library_curl.setopt(curl, CURLOPT_WRITEDATA, answer);
-    (void)library_curl.setopt(curl, CURLOPT_TIMEOUT_MS, CALL_MS);
-    (void)library_curl.setopt(curl, CURLOPT_CONNECTTIMEOUT_MS, CONNECT_MS);
+    (void)library_curl.setopt(curl, CURLOPT_WRITEDATA, body_text);
+    (void)library_curl.setopt(curl, CURLOPT_TIMEOUT_MS, TIMEOUT_MS);
+    (void)library_curl.setopt(curl, CURLOPT_CONNECTTIMEOUT_MS,
+                              CONNECT_TIMEOUT_MS);
     (void)library_curl.setopt(curl, CURLOPT_NOSIGNAL, 1L);
     if (library_curl.perform(curl) == CURLE_OK) {
         (void)library_curl.getinfo(curl, CURLINFO_RESPONSE_CODE, &out->status);
     }
     library_curl.list_free(headers);
     library_curl.cleanup(curl);
-    out->length = answer->len;
-    out->body = g_string_free(answer, FALSE);
+    out->length = body_text->len;
+    out->body = g_string_free(body_text, FALSE);
 }
 
-/* Turns an answer into a status. */
+/* Maps an HTTP status to a status kind. */
 static enum status_kind
-judge(const struct client_reply *reply, struct status *st)
+map_status(const struct client_reply *reply, struct status *st)
 {
     json_object *doc = client_json(reply);
     const char *detail = doc ? client_text(doc, "detail") : "";
@@ -143,25 +141,25 @@
     return st->kind;
 }
 
-/* Says whether another control VM should be asked. */
+/* True if another control VM may answer instead. */
 static bool
-ask_next(const struct client_reply *reply)
+should_try_next(const struct client_reply *reply)
 {
     return reply->status == 0 || reply->status == 503;
 }
 
-/* Asks the control VMs in turn. A status page of a follower is not what
- * was asked for, either: only a confirmed one ends the search early. */
+/* A follower reports its status as unconfirmed: such a response is returned
+ * only if no confirmed one arrives. */
 enum status_kind
-client_ask_control(const struct settings *settings,
-                   const struct client_credentials *credentials,
-                   const char *method, const char *path,
-                   const char *submission, const char *body, size_t length,
-                   struct client_reply *out, struct status *st)
+client_request_control(const struct settings *settings,
+                       const struct client_credentials *credentials,
+                       const char *method, const char *path,
+                       const char *submission, const char *body, size_t length,
+                       struct client_reply *out, struct status *st)
 {
     struct client_reply last = {0, NULL, 0};
 
-    for (int round = 0; round < ROUNDS; round++) {
+    for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
         for (size_t i = 0; i < settings->control_count; i++) {
             const struct settings_control *c = &settings->controls[i];
             char endpoint[ADDRESS_TEXT];
@@ -171,13 +169,13 @@
                 path, NULL);
             bool unconfirmed;
 
-            client_call(method, url, credentials, submission, body, length,
-                        out);
+            client_request(method, url, credentials, submission, body, length,
+                           out);
             g_free(url);
             unconfirmed = strstr(out->body, "\"confirmed\": false") != NULL;
-            if (!ask_next(out) && !unconfirmed) {
+            if (!should_try_next(out) && !unconfirmed) {
                 client_free(&last);
-                return judge(out, st);
+                return map_status(out, st);
             }
             if (unconfirmed) {
                 client_free(&last);
@@ -186,31 +184,29 @@
             }
             client_free(out);
         }
-        if (last.body != NULL && round >= ROUNDS / 2) {
+        if (last.body != NULL && attempt >= ATTEMPTS / 2) {
             break;
         }
-        g_usleep(PAUSE_US);
+        g_usleep(RETRY_PAUSE_US);
     }
     *out = last;
     if (last.body != NULL) {
         return status_set(st, STATUS_UNCONFIRMED,
-                          "no quorum confirmed the answer; see whether a "
-                          "majority of control VMs is up");
+                          "no quorum confirmed the response; check that a "
+                          "majority of control VMs is running");
     }
     out->body = g_strdup("");
     return status_set(st, STATUS_NO_ANSWER,
-                      "no control VM answered as leader; see whether a "
-                      "majority of them is up, then ask again");
+                      "no control VM answered as leader; check that a "
+                      "majority of them is running, then try again");
 }
 
-/* Reads a JSON answer. */
 json_object *
 client_json(const struct client_reply *reply)
 {
     return json_tokener_parse(reply->body);
 }
 
-/* A string of an object. */
 const char *
 client_text(json_object *doc, const char *key)
 {
@@ -223,7 +219,6 @@
     return json_object_get_string(value);
 }
 
-/* A number of an object. */
 int64_t
 client_number(json_object *doc, const char *key)
 {
@@ -235,7 +230,6 @@
     return json_object_get_int64(value);
 }
 
-/* Frees an answer's body. */
 void
 client_free(struct client_reply *reply)
 {
--- a/client.h
+++ b/client.h
@@ -1,7 +1,7 @@
 /**
  * @file client.h
- * How operators' commands talk to control VMs and entries: HTTP by libcurl,
- * one control VM after the other until one answers as the leader.
+ * HTTP client of the operator commands, on libcurl. Requests to control try
+ * one control VM after the other until the leader responds.
  */
 #ifndef RIDGERIDGE_CLIENT_H
 #define RIDGERIDGE_CLIENT_H
@@ -12,55 +12,57 @@
 #include "settings.h"
 #include "status.h"
 
-/** An operator's own file, made by `ridgeridge keygen`. */
+/** Contents of a credentials file, as written by `ridgeridge keygen`. */
 struct client_credentials {
     char name[SETTINGS_NAME_MAX + 1]; /**< as in the settings */
     char token[65];                   /**< bearer token */
-    unsigned char secret_key[64];     /**< Ed25519, to sign off */
+    unsigned char secret_key[64];     /**< Ed25519, for sign-offs */
 };
 
-/** An answer. */
 struct client_reply {
-    long status;   /**< HTTP status, 0: nobody answered */
-    char *body;    /**< owned; never NULL after a call */
+    long status;   /**< HTTP status; 0: no response */
+    char *body;    /**< owned; never NULL after a request */
     size_t length; /**< of body */
 };
 
-/** The table of keys of a credentials file. */
 extern const struct schema client_credentials_schema;
 
-/** Reads a credentials file. */
 enum status_kind client_load_credentials(const char *path,
                                          struct client_credentials *out,
                                          struct status *st);
 
-/** One HTTP call. `submission` may be NULL. */
-void client_call(const char *method, const char *url,
-                 const struct client_credentials *credentials,
-                 const char *submission, const char *body, size_t length,
-                 struct client_reply *out);
+/**
+ * Sends one HTTP request.
+ * @param credentials may be NULL: no Authorization header
+ * @param submission idempotency key; may be NULL
+ */
+void client_request(const char *method, const char *url,
+                    const struct client_credentials *credentials,
+                    const char *submission, const char *body, size_t length,
+                    struct client_reply *out);
 
 /**
- * Asks the control VMs in turn, for some seconds, until one answers that is
- * not another's follower.
+ * Sends a request to the control VMs in turn until the leader responds.
+ * @return STATUS_NO_ANSWER if none does, STATUS_UNCONFIRMED if only followers
+ *   respond, otherwise by the HTTP status
  */
 enum status_kind
-client_ask_control(const struct settings *settings,
-                   const struct client_credentials *credentials,
-                   const char *method, const char *path,
-                   const char *submission, const char *body, size_t length,
-                   struct client_reply *out, struct status *st);
+client_request_control(const struct settings *settings,
+                       const struct client_credentials *credentials,
+                       const char *method, const char *path,
+                       const char *submission, const char *body, size_t length,
+                       struct client_reply *out, struct status *st);
 
-/** Reads a JSON answer; NULL when it is none. */
+/** Parses the body as JSON; NULL if it is malformed. */
 json_object *client_json(const struct client_reply *reply);
 
-/** A string of a JSON object, "" when it is not there. */
+/** "" if the member is missing or no string. */
 const char *client_text(json_object *doc, const char *key);
 
-/** A number of a JSON object, 0 when it is not there. */
+/** 0 if the member is missing. */
 int64_t client_number(json_object *doc, const char *key);
 
-/** Frees an answer's body. */
+/** Frees the body. */
 void client_free(struct client_reply *reply);
 
 #endif
--- a/cmd-bundle.c
+++ b/cmd-bundle.c
@@ -15,9 +15,9 @@
     if (cmd_load(options, &settings, &credentials, st) != STATUS_OK) {
         return st->kind;
     }
-    if (client_ask_control(&settings, &credentials, "GET",
-                           "/v1/bundles/in-force", NULL, NULL, 0, &reply,
-                           st) == STATUS_OK) {
+    if (client_request_control(&settings, &credentials, "GET",
+                               "/v1/bundles/in-force", NULL, NULL, 0, &reply,
+                               st) == STATUS_OK) {
         (void)fwrite(reply.body, 1, reply.length, stdout);
     }
     client_free(&reply);
--- a/cmd-node-status.c
+++ b/cmd-node-status.c
@@ -79,7 +79,7 @@
         return st->kind;
     }
     (void)snprintf(url, sizeof(url), "http://%s%s", args[0], path);
-    client_call("GET", url, &no_credentials, NULL, NULL, 0, &reply);
+    client_request("GET", url, &no_credentials, NULL, NULL, 0, &reply);
     doc = client_json(&reply);
     if (doc == NULL) {
         (void)status_set(st, STATUS_NO_ANSWER,
--- a/cmd-sign-off.c
+++ b/cmd-sign-off.c
@@ -60,8 +60,9 @@
     body = g_strdup_printf(
         "{\"version\": %llu, \"digest\": \"%s\", \"signature\": \"%s\"}",
         (unsigned long long)version, hex, signature_hex);
-    (void)client_ask_control(settings, credentials, "POST", "/v1/sign-offs",
-                             NULL, body, strlen(body), &reply, st);
+    (void)client_request_control(settings, credentials, "POST",
+                                 "/v1/sign-offs", NULL, body, strlen(body),
+                                 &reply, st);
     client_free(&reply);
     g_free(body);
     return st->kind;
@@ -79,8 +80,8 @@
     if (cmd_load(options, &settings, &credentials, st) != STATUS_OK) {
         return st->kind;
     }
-    if (client_ask_control(&settings, &credentials, "GET", "/v1/status", NULL,
-                           NULL, 0, &reply, st) == STATUS_OK &&
+    if (client_request_control(&settings, &credentials, "GET", "/v1/status",
+                               NULL, NULL, 0, &reply, st) == STATUS_OK &&
         find_digest(&reply, version, hex, st)) {
         (void)send_signature(&settings, &credentials, version, hex, st);
     }
--- a/cmd-status.c
+++ b/cmd-status.c
@@ -150,8 +150,8 @@
     struct client_reply reply = {0, NULL, 0};
     json_object *doc;
 
-    (void)client_ask_control(settings, credentials, "GET", "/v1/status", NULL,
-                             NULL, 0, &reply, st);
+    (void)client_request_control(settings, credentials, "GET", "/v1/status",
+                                 NULL, NULL, 0, &reply, st);
     doc = reply.body != NULL ? client_json(&reply) : NULL;
     if (doc != NULL && options->json) {
         (void)printf("%s\n", json_object_to_json_string_ext(
--- a/cmd-submit.c
+++ b/cmd-submit.c
@@ -42,8 +42,9 @@
     if (text != NULL &&
         bundle_read(args[0], text, length, &bundle, st) == STATUS_OK) {
         id = submission_id(options, credentials.name, &bundle);
-        if (client_ask_control(&settings, &credentials, "POST", "/v1/bundles",
-                               id, text, length, &reply, st) == STATUS_OK) {
+        if (client_request_control(&settings, &credentials, "POST",
+                                   "/v1/bundles", id, text, length, &reply,
+                                   st) == STATUS_OK) {
             (void)printf("version %llu: %s (submission %s)\n",
                          (unsigned long long)bundle.version, st->message, id);
         }
--- a/cmd-voters.c
+++ b/cmd-voters.c
@@ -19,8 +19,9 @@
     }
     body = g_strdup_printf("{\"replica\": %lu, \"remove\": %d}",
                            strtoul(args[0], NULL, 10), options->remove);
-    if (client_ask_control(&settings, &credentials, "POST", "/v1/voters", NULL,
-                           body, strlen(body), &reply, st) == STATUS_OK) {
+    if (client_request_control(&settings, &credentials, "POST", "/v1/voters",
+                               NULL, body, strlen(body), &reply,
+                               st) == STATUS_OK) {
         (void)printf("%s\n", st->message);
     }
     g_free(body);
--- a/codec.c
+++ b/codec.c
@@ -1,9 +1,8 @@
-/* Bytes and structs of the generated XDR code. */
+/* XDR (RFC 4506) encoding and decoding, on libtirpc. */
 #include "codec.h"
 
 #include <string.h>
 
-/* Encodes any XDR type. */
 static GByteArray *
 encode(xdrproc_t proc, void *value)
 {
@@ -20,7 +19,7 @@
     return out;
 }
 
-/* Decodes any XDR type from exactly these bytes. */
+/* Fails if bytes are left over. */
 static bool
 decode(xdrproc_t proc, const void *bytes, size_t length, void *out,
        size_t size)
@@ -42,21 +41,19 @@
     return ok;
 }
 
-/* Messages. */
 GByteArray *
 codec_encode(wire_msg *msg)
 {
     return encode((xdrproc_t)xdr_wire_msg, msg);
 }
 
-/* Messages. */
 bool
 codec_decode(const void *bytes, size_t length, wire_msg *out)
 {
     return decode((xdrproc_t)xdr_wire_msg, bytes, length, out, sizeof(*out));
 }
 
-/* Kind of an encoded message: XDR writes it first, in network order. */
+/* The XDR union writes its discriminant first. */
 uint32_t
 codec_kind(const void *bytes, size_t length)
 {
@@ -69,21 +66,18 @@
     return g_ntohl(kind);
 }
 
-/* Messages. */
 void
 codec_free(wire_msg *msg)
 {
     xdr_free((xdrproc_t)xdr_wire_msg, (char *)msg);
 }
 
-/* Commands of the log. */
 GByteArray *
 codec_encode_command(wire_command *command)
 {
     return encode((xdrproc_t)xdr_wire_command, command);
 }
 
-/* Commands of the log. */
 bool
 codec_decode_command(const void *bytes, size_t length, wire_command *out)
 {
@@ -91,42 +85,36 @@
                   sizeof(*out));
 }
 
-/* Commands of the log. */
 void
 codec_free_command(wire_command *command)
 {
     xdr_free((xdrproc_t)xdr_wire_command, (char *)command);
 }
 
-/* Routing tables between nodes. */
 GByteArray *
 codec_encode_table(wire_table *table)
 {
     return encode((xdrproc_t)xdr_wire_table, table);
 }
 
-/* Routing tables between nodes. */
 bool
 codec_decode_table(const void *bytes, size_t length, wire_table *out)
 {
     return decode((xdrproc_t)xdr_wire_table, bytes, length, out, sizeof(*out));
 }
 
-/* Routing tables between nodes. */
 void
 codec_free_table(wire_table *table)
 {
     xdr_free((xdrproc_t)xdr_wire_table, (char *)table);
 }
 
-/* The state of control. */
 GByteArray *
 codec_encode_state(wire_control_state *state)
 {
     return encode((xdrproc_t)xdr_wire_control_state, state);
 }
 
-/* The state of control. */
 bool
 codec_decode_state(const void *bytes, size_t length, wire_control_state *out)
 {
@@ -134,14 +122,12 @@
                   sizeof(*out));
 }
 
-/* The state of control. */
 void
 codec_free_state(wire_control_state *state)
 {
     xdr_free((xdrproc_t)xdr_wire_control_state, (char *)state);
 }
 
-/* Copies an epoch. */
 void
 codec_copy_epoch(const wire_epoch *from, wire_epoch *to)
 {
@@ -152,7 +138,6 @@
     g_byte_array_unref(bytes);
 }
 
-/* Frees an epoch. */
 void
 codec_free_epoch(wire_epoch *epoch)
 {
--- a/cons-replicate.c
+++ b/cons-replicate.c
@@ -110,11 +110,12 @@
 
     if (voter->replica == cons->self) {
         return voter->identity == cons->identity ||
-               fault_is(FAULT_COUNT_WIPED);
+               fault_is(FAULT_COUNT_ANY_IDENTITY);
     }
     peer = cons_find_peer((struct cons *)cons, voter->replica);
     return peer != NULL && peer->match_index >= index &&
-           (peer->identity == voter->identity || fault_is(FAULT_COUNT_WIPED));
+           (peer->identity == voter->identity ||
+            fault_is(FAULT_COUNT_ANY_IDENTITY));
 }
 
 /* Tests whether a voter has acknowledged a heartbeat round. */
--- a/cons-voters.c
+++ b/cons-voters.c
@@ -253,7 +253,8 @@
         const wire_voter *voter = &config->voters.voters_val[i];
 
         if (voter->replica == replica &&
-            (voter->identity == identity || fault_is(FAULT_COUNT_WIPED))) {
+            (voter->identity == identity ||
+             fault_is(FAULT_COUNT_ANY_IDENTITY))) {
             return true;
         }
     }
--- a/cons.c
+++ b/cons.c
@@ -110,11 +110,11 @@
     (void)unused;
     if (voter->replica == cons->self) {
         return voter->identity == cons->identity ||
-               fault_is(FAULT_COUNT_WIPED);
+               fault_is(FAULT_COUNT_ANY_IDENTITY);
     }
     return peer != NULL && peer->vote_granted &&
            (peer->vote_identity == voter->identity ||
-            fault_is(FAULT_COUNT_WIPED));
+            fault_is(FAULT_COUNT_ANY_IDENTITY));
 }
 
 /* The no-op entry commits entries of earlier terms (Raft, section 5.4.2). */
@@ -194,7 +194,7 @@
     uint64_t last = cons_last_index(cons);
     uint64_t last_term = cons_term_at(cons, last);
 
-    if (fault_is(FAULT_VOTE_BEHIND)) {
+    if (fault_is(FAULT_VOTE_STALE_LOG)) {
         return true;
     }
     if (ask->last_term != last_term) {
--- a/egress.c
+++ b/egress.c
@@ -115,7 +115,7 @@
 static uint64_t
 key_of(const struct egress_head *head)
 {
-    if (fault_is(FAULT_NO_TURNS)) {
+    if (fault_is(FAULT_NO_FAIR_QUEUEING)) {
         return 0;
     }
     return head->kind == EGRESS_CALLER ? head->flow : (uint64_t)head->kind;
@@ -219,7 +219,7 @@
     size_t length = first_length + second_length;
     struct egress_item *item;
 
-    if (egress->rate_kbit_s == 0 || fault_is(FAULT_NO_EGRESS)) {
+    if (egress->rate_kbit_s == 0 || fault_is(FAULT_NO_EGRESS_QUEUE)) {
         return EGRESS_SEND_NOW;
     }
     refill(egress, now_us);
@@ -227,7 +227,7 @@
         egress->credit -= cost_of(length);
         return EGRESS_SEND_NOW;
     }
-    if (head->content_hash != 0 && !fault_is(FAULT_NO_COPIES) &&
+    if (head->content_hash != 0 && !fault_is(FAULT_NO_DUPLICATE_DROP) &&
         g_hash_table_contains(egress->content_hashes, &head->content_hash)) {
         return EGRESS_DUPLICATE;
     }
--- a/entry-core.c
+++ b/entry-core.c
@@ -188,10 +188,10 @@
         entry_handle_records(core, now, &msg->wire_msg_u.records);
         return;
     case WIRE_KNOWN:
-        flow_set_known(core->flow, msg->wire_msg_u.known.sender,
-                       msg->wire_msg_u.known.epoch,
-                       msg->wire_msg_u.known.bits.bits_val,
-                       msg->wire_msg_u.known.bits.bits_len);
+        flow_set_filter(core->flow, msg->wire_msg_u.known.sender,
+                        msg->wire_msg_u.known.epoch,
+                        msg->wire_msg_u.known.bits.bits_val,
+                        msg->wire_msg_u.known.bits.bits_len);
         return;
     case WIRE_RECORDS_ACK:
         entry_handle_records_ack(core, &msg->wire_msg_u.records_ack);
--- a/entry-packets.c
+++ b/entry-packets.c
@@ -103,7 +103,7 @@
         queue_to_fabric(entry, packet);
         counter_add(&entry->counters, COUNTER_PACKETS_FORWARDED, 1);
         return;
-    case FLOW_HAND:
+    case FLOW_FORWARD_TO_ENTRY:
         forward_to_entry(entry, packet, &verdict);
         return;
     case FLOW_DROP:
--- a/entry-records.c
+++ b/entry-records.c
@@ -75,7 +75,7 @@
 {
     struct flow_send sends[SEND_CLASS_MAX];
     size_t count =
-        flow_take(core->flow, class, sends, MIN(max, SEND_CLASS_MAX));
+        flow_dequeue(core->flow, class, sends, MIN(max, SEND_CLASS_MAX));
 
     for (size_t i = 0; i < count; i++) {
         wire_flow_record records[WIRE_RECORDS_MAX];
@@ -168,7 +168,7 @@
 static void
 broadcast_known(struct entry_core *core, uint64_t now)
 {
-    GBytes *filter = flow_take_known(core->flow, now);
+    GBytes *filter = flow_build_filter(core->flow, now);
     wire_msg msg = {.kind = WIRE_KNOWN};
     wire_known *out = &msg.wire_msg_u.known;
     gsize length = 0;
--- a/entry-status.c
+++ b/entry-status.c
@@ -14,8 +14,8 @@
                    const struct bundle_upstream *upstream)
 {
     json_object *out = json_object_new_object();
-    uint64_t placed = flow_placed(entry->core->flow, upstream->address,
-                                  (uint16_t)upstream->port);
+    uint64_t placed = flow_assigned(entry->core->flow, upstream->address,
+                                    (uint16_t)upstream->port);
 
     json_object_object_add(out, "name",
                            json_object_new_string(upstream->name));
@@ -183,7 +183,7 @@
     if (u != NULL) {
         page_add_endpoint(out, "owner_now", u->address, u->port);
     }
-    u = flow_upstream(flow, flow_recorded(flow, hash));
+    u = flow_upstream(flow, flow_find_recorded(flow, hash));
     if (u != NULL) {
         page_add_endpoint(out, "recorded", u->address, u->port);
     }
--- a/evidence-choose.c
+++ b/evidence-choose.c
@@ -40,7 +40,7 @@
     return (upstream->state == UPSTREAM_READY ||
             ((upstream->state == UPSTREAM_SILENT ||
               upstream->state == UPSTREAM_LOST) &&
-             !fault_is(FAULT_NO_LAST_RESORT))) &&
+             !fault_is(FAULT_NO_FALLBACK))) &&
            upstream->has_token;
 }
 
@@ -76,7 +76,7 @@
         upstream->is_warmup_owner =
             warmup_is_owner(&ev->nodes, owners, upstream->id);
     }
-    return upstream->is_warmup_owner || fault_is(FAULT_ALL_OWN);
+    return upstream->is_warmup_owner || fault_is(FAULT_ALL_WARMUP_OWNERS);
 }
 
 /* Whether this node may send an upstream a new flow now. */
@@ -143,7 +143,8 @@
         return 0;
     }
     load = load * LOAD_SCALE / upstream->slots;
-    if (upstream_is_warming_up(upstream, now) && !fault_is(FAULT_NO_COLD)) {
+    if (upstream_is_warming_up(upstream, now) &&
+        !fault_is(FAULT_NO_WARMUP_WEIGHT)) {
         load = load * WARMING_WEIGHT_TENTHS / 10;
     }
     return load * evidence_slowness(ev, now, upstream);
@@ -170,7 +171,7 @@
 {
     guint first = (guint)((uint64_t)ev->rank * count >> 32);
 
-    if (fault_is(FAULT_NO_PLACE) || count == 0) {
+    if (fault_is(FAULT_NO_RANK) || count == 0) {
         return index;
     }
     return (index + count - first) % count;
--- a/evidence-liveness.c
+++ b/evidence-liveness.c
@@ -47,7 +47,7 @@
 bool
 evidence_answer_is_due(const struct evidence_flow *flow, uint64_t now)
 {
-    return fault_is(FAULT_NO_WAITS) ||
+    return fault_is(FAULT_COUNT_QUEUED_AS_SENT) ||
            (flow->queued == 0 && now >= flow->dequeued_at + RETRANSMIT_MIN_MS);
 }
 
@@ -181,7 +181,7 @@
             : 0;
     uint32_t ratio;
 
-    if (fault_is(FAULT_NO_TOOK) || median_us == 0 ||
+    if (fault_is(FAULT_NO_LATENCY) || median_us == 0 ||
         now >= upstream->latency_until) {
         return 1;
     }
@@ -252,7 +252,8 @@
         .id = upstream->id,
         .quiet_ms = (uint32_t)(now - flow->unanswered_since)};
 
-    if (fault_is(FAULT_NO_DOUBT) || now < ev->detection_paused_until ||
+    if (fault_is(FAULT_NO_SUSPICION_REPORT) ||
+        now < ev->detection_paused_until ||
         now < upstream->next_suspicion_at ||
         (upstream->state != UPSTREAM_READY &&
          upstream->state != UPSTREAM_SILENT) ||
@@ -299,7 +300,7 @@
                     struct evidence_flow *flow, struct upstream *upstream)
 {
     bool answer_due = evidence_answer_is_due(flow, now) &&
-                      (!flow->gap || fault_is(FAULT_NO_ORDER));
+                      (!flow->gap || fault_is(FAULT_IGNORE_GAPS));
 
     flow->confirmed_timeouts =
         answer_due && ev->answered_sent_at > flow->retransmitted_at
@@ -399,7 +400,7 @@
                  const struct evidence_flow *flow,
                  const struct upstream *upstream)
 {
-    if (fault_is(FAULT_NO_LOST) || now < ev->detection_paused_until) {
+    if (fault_is(FAULT_KEEP_LOST_FLOWS) || now < ev->detection_paused_until) {
         return false;
     }
     return is_lost_by_quorum(flow, upstream, now) ||
--- a/evidence-outlier.c
+++ b/evidence-outlier.c
@@ -61,7 +61,7 @@
 
     update_median(baseline, latency_us);
     if (early && now >= upstream->next_outlier_report_at &&
-        !fault_is(FAULT_NO_SICK)) {
+        !fault_is(FAULT_NO_OUTLIERS)) {
         struct upstream_suspicion report = {.id = upstream->id,
                                             .outlier = true};
 
--- a/evidence-reach.c
+++ b/evidence-reach.c
@@ -82,7 +82,8 @@
 {
     struct evidence_hall *hall = get_hall(ev, upstream->hall_hash);
 
-    if (fault_is(FAULT_NO_REACH) || now < ev->detection_paused_until ||
+    if (fault_is(FAULT_NO_HALL_SUSPICION) ||
+        now < ev->detection_paused_until ||
         upstream->state != UPSTREAM_READY ||
         (hall->confirmed_at != 0 && now < hall->confirmed_at + CONFIRMED_MS)) {
         return;
--- a/evidence.c
+++ b/evidence.c
@@ -212,7 +212,7 @@
         !evidence_answer_is_due(flow, now)) {
         return true;
     }
-    if (fault_is(FAULT_NO_MOVE)) {
+    if (fault_is(FAULT_NO_REROUTE)) {
         return true;
     }
     evidence_reach_note_timeout(ev, now, upstream);
--- a/explain.c
+++ b/explain.c
@@ -34,7 +34,7 @@
     struct client_reply reply = {0, NULL, 0};
     json_object *doc = NULL;
 
-    client_call("GET", url, credentials, NULL, NULL, 0, &reply);
+    client_request("GET", url, credentials, NULL, NULL, 0, &reply);
     if (reply.status == 200) {
         doc = client_json(&reply);
     }
@@ -59,8 +59,8 @@
     json_object *entries = NULL;
     json_object *doc;
 
-    (void)client_ask_control(settings, credentials, "GET", "/v1/status", NULL,
-                             NULL, 0, &reply, st);
+    (void)client_request_control(settings, credentials, "GET", "/v1/status",
+                                 NULL, NULL, 0, &reply, st);
     doc = client_json(&reply);
     if (doc != NULL && json_object_object_get_ex(doc, "entries", &entries)) {
         for (size_t i = 0; i < json_object_array_length(entries); i++) {
@@ -80,9 +80,9 @@
 {
     struct client_reply reply = {0, NULL, 0};
 
-    if (client_ask_control(settings, credentials, "GET",
-                           "/v1/bundles/in-force", NULL, NULL, 0, &reply,
-                           st) == STATUS_OK) {
+    if (client_request_control(settings, credentials, "GET",
+                               "/v1/bundles/in-force", NULL, NULL, 0, &reply,
+                               st) == STATUS_OK) {
         (void)bundle_read("bundle in force", reply.body, reply.length, out,
                           st);
     }
--- a/fault.h
+++ b/fault.h
@@ -1,10 +1,8 @@
 /**
  * @file fault.h
- * Safeguards, and mechanisms of choice, that tests and measurements leave out
- * one at a time, to show that each is needed and what it is worth. Only the
- * tests are built with FAULT_TRIALS: in the program fault_is() is false at
- * compile time, so nothing can switch a safeguard off there. Those marked
- * "untested" no test leaves out yet.
+ * Fault injection: switches that turn off one safeguard or mechanism, for
+ * tests and for tools/ablate. Without FAULT_TRIALS or FAULT_ALWAYS fault_is()
+ * is false at compile time. "untested": no test sets the switch.
  */
 #ifndef RIDGERIDGE_FAULT_H
 #define RIDGERIDGE_FAULT_H
@@ -12,79 +10,77 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** A safeguard that is left out. */
+/** What is turned off or done wrong. */
 enum fault {
-    FAULT_COUNT_WIPED,     /**< count any identity as a voter */
-    FAULT_NO_TERM_CHECK,   /**< commit entries of older terms; untested */
-    FAULT_VOTE_TWICE,      /**< forget the vote of a term */
-    FAULT_VOTE_BEHIND,     /**< vote for a shorter log */
-    FAULT_LEASE_NO_QUORUM, /**< confirm rounds without a quorum */
-    FAULT_ACK_UNSAVED,     /**< the simulated shell skips syncing */
-    FAULT_EVICT_EARLY,     /**< drop an entry before its lease ends */
-    FAULT_NO_BARRIER,      /**< step without waiting for entries */
-    FAULT_READ_LOCAL,      /**< answer reads without a quorum; untested */
-    FAULT_NO_FENCE,        /**< grant claims in any epoch */
-    FAULT_NO_MAJORITY,     /**< one grant is enough */
-    FAULT_NO_OLD_EPOCHS,   /**< replicas of earlier epochs are not read */
-    FAULT_NO_LEASE,        /**< dispatch without a lease; untested */
-    FAULT_NO_LEAST_WORK,   /**< choose the first from the own place on */
-    FAULT_NO_PLACE,        /**< all nodes break ties alike */
-    FAULT_ALL_OWN,         /**< each node takes the bound for its own */
-    FAULT_NO_WARMUP,       /**< cold upstreams get flows without a bound */
-    FAULT_NO_COLD,         /**< an upstream that starts weighs as others */
-    FAULT_NO_TOOK,         /**< how long an upstream takes says nothing */
-    FAULT_NO_SUSPICION,   /**< a first packet without an answer says nothing */
-    FAULT_SILENT_EQUAL,   /**< silent upstreams are chosen as others are */
-    FAULT_NO_LAST_RESORT, /**< silent upstreams get no flow at all */
-    FAULT_NO_SILENCE,     /**< registrations that stay away say nothing */
-    FAULT_NO_SICK,        /**< answers that come too soon say nothing */
-    FAULT_NO_SECOND_SIGN, /**< two signs of silence say no more than one */
-    FAULT_NO_QUESTION,    /**< nor are others asked before */
-    FAULT_NO_EXCUSE,      /**< nor does a standstill of this node */
-    FAULT_NO_REPLACE,     /**< nor another incarnation at an address */
-    FAULT_NO_BORN,        /**< starts of one id are ordered by sequence */
-    FAULT_NO_REACH,       /**< halls that are cut off are not noticed */
-    FAULT_NO_MOVE,        /**< copies of a first packet go the same way */
-    FAULT_NO_DOUBT,       /**< nodes do not tell of unanswered data */
-    FAULT_NO_HOLD,        /**< packets are not held until enough is known */
-    FAULT_NO_STALE,       /**< first packets that waited are forwarded */
-    FAULT_NO_KEPT,        /**< the inventory is not kept on disk */
-    FAULT_NO_ASK,         /**< a node that begins wants all of everybody */
-    FAULT_NO_NEAR,        /**< nodes of any hall are compared with alike */
-    FAULT_NO_RESOLVE,     /**< upstreams of open flows are not asked for */
-    FAULT_NO_EGRESS,      /**< what the link does not take is lost there */
-    FAULT_NO_COPIES,      /**< copies wait beside what they are copies of */
-    FAULT_NO_TURNS,       /**< all flows wait in one queue */
-    FAULT_NO_WAITS,       /**< what waits here counts as sent */
-    FAULT_NO_ORDER,       /**< data that did not come here counts as sent */
-    FAULT_NO_LOST,        /**< open flows of lost upstreams go on */
-    FAULT_NO_PACE,        /**< copies of tables take all of a link */
-    FAULT_NO_COMPARE,     /**< nodes that serve do not compare inventories */
-    FAULT_NO_RESEND,      /**< changes that are lost are not sent again */
-    FAULT_NO_AGAIN,       /**< what a relay took is lost with it */
-    FAULT_NO_LASTING,     /**< changes on their way are compared */
-    FAULT_NO_RELAY,       /**< a node sends changes to all others itself */
-    FAULT_FOUND_AGAIN,    /**< a founder is named though a leader was known */
-    FAULT_HALLS_IGNORED,  /**< emptied halls get new flows */
-    FAULT_HALLS_UNORDERED, /**< any list of emptied halls replaces another */
-    FAULT_HALLS_UNLOGGED,  /**< orders about halls are in memory alone */
-    FAULT_NO_HALL_PUSH,    /**< emptied halls are told by hellos alone */
+    FAULT_COUNT_ANY_IDENTITY, /**< count any identity as the voter */
+    FAULT_NO_TERM_CHECK,      /**< commit entries of older terms; untested */
+    FAULT_VOTE_TWICE,         /**< forget the vote of a term */
+    FAULT_VOTE_STALE_LOG,     /**< vote for a log that lacks entries */
+    FAULT_LEASE_NO_QUORUM,    /**< confirm heartbeat rounds without a quorum */
+    FAULT_ACK_UNSYNCED,  /**< acknowledge before fsync(); in the simulation */
+    FAULT_EVICT_EARLY,   /**< remove an entry before its lease ends */
+    FAULT_NO_BARRIER,    /**< advance a rollout without waiting for entries */
+    FAULT_READ_LOCAL,    /**< answer reads without a quorum; untested */
+    FAULT_NO_FENCE,      /**< grant claims of any epoch */
+    FAULT_NO_MAJORITY,   /**< accept a claim with a single grant */
+    FAULT_NO_OLD_EPOCHS, /**< skip key replicas of earlier epochs */
+    FAULT_NO_LEASE,      /**< dispatch requests without a lease; untested */
+    FAULT_NO_LEAST_WORK, /**< do not compare the work at upstreams */
+    FAULT_NO_RANK,       /**< all nodes break ties the same way */
+    FAULT_ALL_WARMUP_OWNERS, /**< every node owns each upstream in warmup */
+    FAULT_NO_WARMUP,         /**< no flow limit for upstreams in warmup */
+    FAULT_NO_WARMUP_WEIGHT,  /**< no extra weight for upstreams in warmup */
+    FAULT_NO_LATENCY,        /**< ignore response times */
+    FAULT_NO_SUSPICION,      /**< ignore unanswered first packets */
+    FAULT_SILENT_EQUAL,      /**< treat silent upstreams as ready */
+    FAULT_NO_FALLBACK,       /**< no new flows to silent upstreams */
+    FAULT_NO_REGISTRATION_TIMEOUT, /**< ignore missed registrations */
+    FAULT_NO_OUTLIERS,             /**< no outlier detection */
+    FAULT_NO_LOST_STATE,           /**< never declare an upstream lost */
+    FAULT_NO_QUERY,           /**< do not ask other nodes about an upstream */
+    FAULT_NO_STALL_EXTENSION, /**< keep deadlines after a stall */
+    FAULT_NO_REPLACE,         /**< ignore a restart at the same endpoint */
+    FAULT_NO_START_TIME,      /**< order restarts of an id by sequence */
+    FAULT_NO_HALL_SUSPICION,  /**< do not detect unreachable halls */
+    FAULT_NO_REROUTE, /**< retransmit first packets to the same upstream */
+    FAULT_NO_SUSPICION_REPORT, /**< do not report unanswered data */
+    FAULT_NO_HOLD,             /**< do not hold packets until state is known */
+    FAULT_NO_STALE_DROP,       /**< forward first packets that are stale */
+    FAULT_NO_SAVED_INVENTORY,  /**< do not save the inventory */
+    FAULT_SYNC_FROM_ALL,       /**< a starting node syncs from every peer */
+    FAULT_NO_HALL_PREFERENCE,  /**< ignore the hall when choosing a peer */
+    FAULT_NO_RESOLVE,          /**< do not query the upstreams of open flows */
+    FAULT_NO_EGRESS_QUEUE,     /**< no queue for the link */
+    FAULT_NO_DUPLICATE_DROP,   /**< queue retransmissions of queued packets */
+    FAULT_NO_FAIR_QUEUEING,    /**< one queue for all flows */
+    FAULT_COUNT_QUEUED_AS_SENT, /**< treat queued packets as sent */
+    FAULT_IGNORE_GAPS,     /**< count retransmissions despite missing data */
+    FAULT_KEEP_LOST_FLOWS, /**< do not end flows of lost upstreams */
+    FAULT_NO_TRANSFER_PACING, /**< no rate limit for large transfers */
+    FAULT_NO_ANTI_ENTROPY,    /**< do not compare inventories */
+    FAULT_NO_RESEND,          /**< do not retransmit changes */
+    FAULT_NO_RELAY_RETRY,     /**< do not repeat changes given to a relay */
+    FAULT_COMPARE_IN_FLIGHT,  /**< compare buckets with changes in flight */
+    FAULT_NO_RELAY,           /**< send changes to all nodes directly */
+    FAULT_BOOTSTRAP_AGAIN,    /**< bootstrap although a leader was known */
+    FAULT_HALLS_IGNORED,      /**< new flows to drained halls */
+    FAULT_HALLS_UNVERSIONED,  /**< accept older lists of drained halls */
+    FAULT_HALLS_UNLOGGED,     /**< do not log orders about halls */
+    FAULT_NO_HALL_PUSH,       /**< announce drained halls only in hellos */
     FAULT_COUNT,
     FAULT_NONE = FAULT_COUNT
 };
 
 #ifdef FAULT_ALWAYS
-/* One is left out of the whole program, to measure what it is worth:
- * tools/ablate. */
+/* Set for the whole program by tools/ablate. */
 #define fault_is(which) ((which) == (FAULT_ALWAYS))
 #elif defined(FAULT_TRIALS)
-/** Which are left out now; of the tests, by enum fault. */
+/** Indexed by enum fault; defined by the tests. */
 extern bool fault_trials[FAULT_COUNT];
 #define fault_is(which) (fault_trials[which])
 struct evidence;
 struct upstream;
-/** Stands for the work at an upstream when it is set, so that other ways of
- * choosing can be compared; of the tests. */
+/** If not NULL, replaces the work at an upstream that the choice compares. */
 extern uint64_t (*fault_work)(const struct evidence *ev,
                               const struct upstream *upstream);
 #else
--- a/fleet-inventory.c
+++ b/fleet-inventory.c
@@ -245,8 +245,8 @@
 {
     uint64_t since = fleet->differs_since[bucket];
 
-    return since != 0 &&
-           (now >= since + DIFFERENCE_MIN_MS || fault_is(FAULT_NO_LASTING));
+    return since != 0 && (now >= since + DIFFERENCE_MIN_MS ||
+                          fault_is(FAULT_COMPARE_IN_FLIGHT));
 }
 
 /* An empty inventory on either side is left to sync requests. */
@@ -258,7 +258,8 @@
         hello->self.address == fleet->leader &&
         g_hash_table_size(fleet->members) > COMPARE_WITH_LEADER_MAX;
 
-    return !fault_is(FAULT_NO_COMPARE) && fleet->upstreams->all->len > 0 &&
+    return !fault_is(FAULT_NO_ANTI_ENTROPY) &&
+           fleet->upstreams->all->len > 0 &&
            fleet_hello_has_upstreams(hello) && !is_large_fleet_leader &&
            now >= fleet->compare_at;
 }
--- a/fleet-members.c
+++ b/fleet-members.c
@@ -223,7 +223,7 @@
     uint64_t draw = random_next(&fleet->random);
 
     if (neighbours->len == 0 || draw % ANY_HALL_ONE_IN == 0 ||
-        fault_is(FAULT_NO_NEAR)) {
+        fault_is(FAULT_NO_HALL_PREFERENCE)) {
         return fleet_random_member(fleet);
     }
     return g_array_index(neighbours, uint32_t,
--- a/fleet-relay.c
+++ b/fleet-relay.c
@@ -184,7 +184,7 @@
 
     g_array_append_val(fleet->relay.own_changes, id);
     if (upstream != NULL && upstream->state != UPSTREAM_READY &&
-        !fault_is(FAULT_NO_AGAIN)) {
+        !fault_is(FAULT_NO_RELAY_RETRY)) {
         g_array_append_val(fleet->relay.repeats, repeat);
     }
     schedule_flush(fleet, now);
--- a/fleet-send.c
+++ b/fleet-send.c
@@ -93,7 +93,8 @@
 void
 fleet_send_hello(struct fleet *fleet, uint32_t to, bool reply)
 {
-    send_hello(fleet, to, reply, fleet->settled || fault_is(FAULT_NO_ASK));
+    send_hello(fleet, to, reply,
+               fleet->settled || fault_is(FAULT_SYNC_FROM_ALL));
 }
 
 void
--- a/fleet-transfer.c
+++ b/fleet-transfer.c
@@ -150,7 +150,7 @@
 void
 fleet_count_bulk(struct fleet *fleet, uint64_t now, uint64_t bytes)
 {
-    if (fleet->bulk_bytes_per_ms == 0 || fault_is(FAULT_NO_PACE)) {
+    if (fleet->bulk_bytes_per_ms == 0 || fault_is(FAULT_NO_TRANSFER_PACING)) {
         return;
     }
     fleet->bulk_bytes += bytes;
--- a/fleet.c
+++ b/fleet.c
@@ -235,7 +235,7 @@
 static bool
 chooses_founder(const struct fleet *fleet)
 {
-    if (fleet->bootstrapped && !fault_is(FAULT_FOUND_AGAIN)) {
+    if (fleet->bootstrapped && !fault_is(FAULT_BOOTSTRAP_AGAIN)) {
         return false;
     }
     for (size_t i = 0; i < fleet->seed_count; i++) {
@@ -364,7 +364,7 @@
         fleet->hall_has_data_until = now + FLEET_SYNC_OTHER_HALL_MS;
         return true;
     }
-    return !has_data(fleet) || fault_is(FAULT_NO_NEAR) ||
+    return !has_data(fleet) || fault_is(FAULT_NO_HALL_PREFERENCE) ||
            (now >= fleet->hall_has_data_until &&
             now >= fleet->first_hello_at + FLEET_SYNC_OTHER_HALL_MS);
 }
@@ -522,7 +522,7 @@
         fleet_handle_spread_ack(fleet, now, &msg->wire_msg_u.spread_ack);
         return;
     case WIRE_FOUND:
-        if ((!fleet->bootstrapped || fault_is(FAULT_FOUND_AGAIN)) &&
+        if ((!fleet->bootstrapped || fault_is(FAULT_BOOTSTRAP_AGAIN)) &&
             msg->wire_msg_u.found.identity == fleet->self.identity) {
             (void)fleet_add_action(fleet, FLEET_BOOTSTRAP);
         }
--- a/flow-filter.c
+++ b/flow-filter.c
@@ -1,7 +1,7 @@
 /*
- * What keepers hold, told as Bloom filters (Bloom, 1970). After an entry was
- * lost while buckets move, every holder of a flow's record would push it to
- * the keepers; the filters leave only those that a keeper lacks.
+ * Bloom filters (Bloom, 1970) of the flows that keepers hold. After the loss
+ * of an entry while buckets move, records that a keeper's filter contains are
+ * not pushed to that keeper.
  */
 #include "flow-internal.h"
 
@@ -10,28 +10,28 @@
 #include "generated/wire.h"
 #include "hash.h"
 
-/* Place of one of a flow's bits. */
+/* Index of the nth bit of a flow, by double hashing. */
 static size_t
-bit_of(uint64_t hash, unsigned n, size_t bits)
+bit_index(uint64_t hash, unsigned n, size_t bits)
 {
     uint64_t mixed = hash_pair(HASH_BUCKET, hash, 1);
 
     return (size_t)(((mixed & 0xffffffff) + n * (mixed >> 32)) % bits);
 }
 
-/* Says whether this entry keeps a flow whose bucket moves. */
+/* True if this entry is a keeper of the flow and the bucket is moving. */
 static bool
-is_kept(const struct flow *flow, const struct flow_record *record)
+is_held_as_keeper(const struct flow *flow, const struct flow_record *record)
 {
     const struct flow_upstream *u = flow_upstream(flow, record->upstream);
     const struct member *keepers[MEMBER_KEEPERS];
-    upstream_id now_owner;
+    upstream_id new_owner;
     upstream_id old_owner;
     size_t count;
 
     if (record->hash == 0 || u == NULL ||
-        !flow_is_moved(flow, &flow->services[u->service], record->hash,
-                       &now_owner, &old_owner)) {
+        !flow_bucket_is_moving(flow, &flow->services[u->service], record->hash,
+                               &new_owner, &old_owner)) {
         return false;
     }
     count =
@@ -45,68 +45,67 @@
     return false;
 }
 
-/* Lists the flows that this entry keeps. */
 static GArray *
-list_kept(const struct flow *flow)
+list_held_flows(const struct flow *flow)
 {
-    GArray *kept = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+    GArray *hashes = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 
     for (size_t i = 0; i <= flow->store.mask; i++) {
         const struct flow_record *record = &flow->store.records[i];
 
-        if (is_kept(flow, record)) {
+        if (is_held_as_keeper(flow, record)) {
             uint64_t hash = record->hash;
 
-            g_array_append_val(kept, hash);
+            g_array_append_val(hashes, hash);
         }
     }
-    return kept;
+    return hashes;
 }
 
-/* Gives the filter of what this entry keeps, when others must be told. */
 GBytes *
-flow_take_known(struct flow *flow, uint64_t now)
+flow_build_filter(struct flow *flow, uint64_t now)
 {
-    GArray *kept;
+    GArray *hashes;
     size_t length;
     unsigned char *filter;
 
-    if (!flow->known_wanted || now + FLOW_KNOWN_MS < flow->orphans_at) {
+    if (!flow->filter_due ||
+        now + FLOW_FILTER_LEAD_MS < flow->orphan_pass_at) {
         return NULL;
     }
-    flow->known_wanted = false;
-    kept = list_kept(flow);
-    length = MIN((size_t)WIRE_KNOWN_MAX, kept->len * FLOW_KNOWN_BITS / 8 + 8);
+    flow->filter_due = false;
+    hashes = list_held_flows(flow);
+    length =
+        MIN((size_t)WIRE_KNOWN_MAX, hashes->len * FLOW_FILTER_BITS / 8 + 8);
     filter = g_malloc0(length);
-    for (guint i = 0; i < kept->len; i++) {
-        uint64_t hash = g_array_index(kept, uint64_t, i);
+    for (guint i = 0; i < hashes->len; i++) {
+        uint64_t hash = g_array_index(hashes, uint64_t, i);
 
-        for (unsigned n = 0; n < FLOW_KNOWN_HASHES; n++) {
-            size_t bit = bit_of(hash, n, length * 8);
+        for (unsigned n = 0; n < FLOW_FILTER_HASHES; n++) {
+            size_t bit = bit_index(hash, n, length * 8);
 
             filter[bit / 8] |= (unsigned char)(1U << bit % 8);
         }
     }
-    g_array_free(kept, TRUE);
+    g_array_free(hashes, TRUE);
     return g_bytes_new_take(filter, length);
 }
 
-/* Takes the filter of another keeper. */
 void
-flow_set_known(struct flow *flow, uint64_t keeper, uint64_t epoch,
-               const void *bits, size_t length)
+flow_set_filter(struct flow *flow, uint64_t keeper, uint64_t epoch,
+                const void *bits, size_t length)
 {
     if (epoch == flow->members.epoch && length > 0) {
-        g_hash_table_replace(flow->known, g_memdup2(&keeper, sizeof(keeper)),
+        g_hash_table_replace(flow->filters, g_memdup2(&keeper, sizeof(keeper)),
                              g_bytes_new(bits, length));
     }
 }
 
-/* Says whether a keeper told that it holds a flow, or seems to have. */
+/* False positives as in any Bloom filter. */
 bool
-flow_is_known(const struct flow *flow, uint64_t keeper, uint64_t hash)
+flow_filter_contains(const struct flow *flow, uint64_t keeper, uint64_t hash)
 {
-    GBytes *filter = g_hash_table_lookup(flow->known, &keeper);
+    GBytes *filter = g_hash_table_lookup(flow->filters, &keeper);
     gsize length = 0;
     const unsigned char *bits;
 
@@ -114,8 +113,8 @@
         return false;
     }
     bits = g_bytes_get_data(filter, &length);
-    for (unsigned n = 0; n < FLOW_KNOWN_HASHES; n++) {
-        size_t bit = bit_of(hash, n, length * 8);
+    for (unsigned n = 0; n < FLOW_FILTER_HASHES; n++) {
+        size_t bit = bit_index(hash, n, length * 8);
 
         if ((bits[bit / 8] >> bit % 8 & 1) == 0) {
             return false;
@@ -124,9 +123,8 @@
     return true;
 }
 
-/* Forgets all filters; they were of another epoch. */
 void
-flow_forget_known(struct flow *flow)
+flow_clear_filters(struct flow *flow)
 {
-    g_hash_table_remove_all(flow->known);
+    g_hash_table_remove_all(flow->filters);
 }
--- a/flow-internal.h
+++ b/flow-internal.h
@@ -1,6 +1,6 @@
 /**
  * @file flow-internal.h
- * What the flow-*.c files share. Nothing else includes it.
+ * Structures and functions shared by the flow-*.c files only.
  */
 #ifndef RIDGERIDGE_FLOW_INTERNAL_H
 #define RIDGERIDGE_FLOW_INTERNAL_H
@@ -10,52 +10,52 @@
 #include "flow.h"
 #include "table.h"
 
-#define FLOW_PROBE 32         /* places a record may stand from its first */
-#define FLOW_FLAG_ORIGIN 1U   /* this entry saw the flow's first packet */
-#define FLOW_FLAG_CLOSING 2U  /* FIN or RST was seen */
-#define FLOW_ASKED_SHIFT 4    /* bits 4 to 7: times asked, at a keeper */
-#define FLOW_ASKED_MAX 4U     /* then the asking entry is told */
-#define FLOW_SEEN_BITS 24     /* seconds, wraps after 194 days */
-#define FLOW_STAMP_MS 600000U /* unit of `stamps` */
-#define FLOW_ORPHANS_MS 4000U /* first the origins push what they know */
-#define FLOW_KNOWN_MS 500U    /* before that, keepers tell what they hold */
-#define FLOW_KNOWN_BITS 10    /* of a filter, for each flow */
-#define FLOW_KNOWN_HASHES 4   /* bits set for each flow */
-#define FLOW_QUEUE_MAX 4096   /* paced records waiting to be sent */
+#define FLOW_PROBE_MAX 32           /* linear probing distance, slots */
+#define FLOW_FLAG_ORIGIN 1U         /* this entry saw the first packet */
+#define FLOW_FLAG_CLOSING 2U        /* FIN or RST was seen */
+#define FLOW_QUERIES_SHIFT 4        /* bits 4 to 7: queries at a keeper */
+#define FLOW_QUERIES_MAX 4U         /* then a hint goes to the origin */
+#define FLOW_SEEN_BITS 24           /* seconds, wraps after 194 days */
+#define FLOW_STAMP_MS 600000U       /* unit of `move_stamps` */
+#define FLOW_ORPHANS_DELAY_MS 4000U /* origins push their records first */
+#define FLOW_FILTER_LEAD_MS 500U    /* filters are sent before that pass */
+#define FLOW_FILTER_BITS 10         /* Bloom filter bits per flow */
+#define FLOW_FILTER_HASHES 4        /* Bloom filter hash functions */
+#define FLOW_QUEUE_MAX 4096         /* queued FLOW_SEND_PUSH records */
 
-/* One record, 16 bytes. hash 0: never used. */
+/* One record, 16 bytes. hash 0: slot never used. */
 struct flow_record {
-    uint64_t hash;      /* of the flow */
+    uint64_t hash;
     uint32_t upstream;  /* upstream_id */
-    uint32_t seen : 24; /* seconds */
-    uint32_t flags : 8; /* FLOW_FLAG_* */
+    uint32_t seen : 24; /* last use, seconds */
+    uint32_t flags : 8; /* FLOW_FLAG_* and number of queries */
 };
 
-/* The record table: open addressing, never rehashed. */
+/* Hash table with linear probing, never rehashed. */
 struct flow_store {
     struct flow_record *records;
     size_t mask;  /* capacity - 1 */
-    size_t count; /* places ever used */
+    size_t count; /* slots ever used */
 };
 
 /* One service in the view. */
 struct flow_service {
     char name[BUNDLE_NAME_MAX + 1];
-    uint64_t key;      /* hash of the name */
-    uint32_t address;  /* callers' side */
-    uint16_t port;     /* callers' side */
-    uint8_t protocol;  /* enum bundle_protocol */
-    uint32_t size;     /* buckets in `now` and `stamps` */
-    uint32_t old_size; /* buckets in `old`, 0: no earlier table */
-    uint16_t *now;     /* bucket to index in `upstreams` */
-    uint16_t *old;     /* the same before the last change */
-    uint16_t *stamps;  /* when the bucket last moved, 0: never */
+    uint64_t key;          /* hash of the name */
+    uint32_t address;      /* that callers use */
+    uint16_t port;         /* that callers use */
+    uint8_t protocol;      /* enum bundle_protocol */
+    uint32_t size;         /* buckets in `table` and `move_stamps` */
+    uint32_t old_size;     /* buckets in `old_table`; 0: no such table */
+    uint16_t *table;       /* bucket to index in `upstreams` */
+    uint16_t *old_table;   /* same, of the preceding bundle */
+    uint16_t *move_stamps; /* time of a bucket's last move; 0: never */
     upstream_id *upstreams;
     size_t upstream_count;
-    uint64_t digest; /* of `now` and the upstreams' endpoints */
+    uint64_t digest; /* of `table` and the upstreams' endpoints */
 };
 
-/* What a scan of the records is for. */
+/* Reason of a scan of the records. */
 enum flow_pass { PASS_NONE, PASS_MOVE, PASS_ORPHANS, PASS_EPOCH };
 
 struct flow {
@@ -66,24 +66,24 @@
     GHashTable *by_address;  /* service endpoint to index + 1 */
     GHashTable *by_upstream; /* upstream endpoint to upstream_id */
     struct flow_upstream *upstreams;
-    size_t upstream_size; /* places in `upstreams`; 0 is unused */
+    size_t upstream_size; /* length of `upstreams`; index 0 is unused */
     uint64_t version;
     enum flow_step step;
-    uint64_t flip_udp_at; /* deadline after which unknown UDP is new */
+    uint64_t flip_udp_at; /* then unknown UDP flows are new */
     uint64_t lease_deadline;
     struct member_set members;
-    struct member_set before; /* members of the epoch before */
-    uint64_t complete_at;     /* deadline: by then new keepers know all */
-    uint64_t departed_until;  /* a member left; its flows may be orphans */
+    struct member_set old_members; /* of the preceding epoch */
+    uint64_t replicated_at;        /* then new keepers have all records */
+    uint64_t orphans_until;        /* records of a lost origin may remain */
     enum flow_pass pass;
     bool move_pending;
     bool orphans_pending;
     bool epoch_pending;
-    size_t cursor;
-    uint64_t orphans_at; /* deadline: other keepers have told by then */
-    bool known_wanted;   /* the other entries must be told */
-    GHashTable *known;   /* keeper's id to GBytes: what it holds */
-    GQueue sends[FLOW_SEND_PUSH + 1]; /* struct flow_send, by class */
+    size_t cursor;           /* next slot to scan */
+    uint64_t orphan_pass_at; /* then other keepers' filters are here */
+    bool filter_due;         /* flow_build_filter() returns a filter */
+    GHashTable *filters;     /* keeper's id to GBytes */
+    GQueue send_queues[FLOW_SEND_PUSH + 1]; /* struct flow_send, by class */
 };
 
 /* flow-store.c */
@@ -95,21 +95,23 @@
 void flow_store_touch(struct flow_record *record, uint64_t now);
 
 /* flow-view.c */
-bool flow_is_moved(const struct flow *flow, const struct flow_service *service,
-                   uint64_t hash, upstream_id *now, upstream_id *old);
-bool flow_is_disturbed(const struct flow_service *service, uint64_t now,
-                       uint64_t hash);
+bool flow_bucket_is_moving(const struct flow *flow,
+                           const struct flow_service *service, uint64_t hash,
+                           upstream_id *new_owner, upstream_id *old_owner);
+bool flow_bucket_moved_recently(const struct flow_service *service,
+                                uint64_t now, uint64_t hash);
 upstream_id flow_intern(struct flow *flow, uint32_t address, uint16_t port);
 upstream_id flow_lookup_upstream(const struct flow *flow, uint32_t address,
                                  uint16_t port);
 
 /* flow-filter.c */
-bool flow_is_known(const struct flow *flow, uint64_t keeper, uint64_t hash);
-void flow_forget_known(struct flow *flow);
+bool flow_filter_contains(const struct flow *flow, uint64_t keeper,
+                          uint64_t hash);
+void flow_clear_filters(struct flow *flow);
 
 /* flow-push.c */
-void flow_queue(struct flow *flow, uint64_t peer, uint64_t hash,
-                upstream_id upstream, enum flow_send_class class);
-void flow_begin_pass(struct flow *flow);
+void flow_enqueue(struct flow *flow, uint64_t peer, uint64_t hash,
+                  upstream_id upstream, enum flow_send_class class);
+void flow_start_pass(struct flow *flow);
 
 #endif
--- a/flow-push.c
+++ b/flow-push.c
@@ -1,7 +1,7 @@
 /*
- * Records that travel between entries. After a view or an epoch changes, a
- * scan of the records finds those that the keepers must hold; they are sent
- * within a budget of bytes. Answers to packets go first and unpaced.
+ * Replication of flow records between entries. A new view or epoch starts a
+ * pass over all records, which queues those that keepers lack as
+ * FLOW_SEND_PUSH.
  */
 #include "flow-internal.h"
 
@@ -9,10 +9,9 @@
 
 #include "hash.h"
 
-/* Puts a record in a queue. */
 void
-flow_queue(struct flow *flow, uint64_t peer, uint64_t hash,
-           upstream_id upstream, enum flow_send_class class)
+flow_enqueue(struct flow *flow, uint64_t peer, uint64_t hash,
+             upstream_id upstream, enum flow_send_class class)
 {
     const struct flow_upstream *u = flow_upstream(flow, upstream);
     struct flow_send *send;
@@ -26,18 +25,18 @@
                                .address = u->address,
                                .port = u->port,
                                .class = class};
-    g_queue_push_tail(&flow->sends[class], send);
+    g_queue_push_tail(&flow->send_queues[class], send);
 }
 
-/* Starts the most urgent pass that is pending. */
+/* Starts the most urgent pending pass. */
 void
-flow_begin_pass(struct flow *flow)
+flow_start_pass(struct flow *flow)
 {
     if (flow->pass != PASS_NONE && !flow->move_pending) {
         return;
     }
     if (flow->move_pending) {
-        /* An unfinished epoch pass starts again after this one. */
+        /* An interrupted epoch pass restarts after this one. */
         flow->epoch_pending = flow->epoch_pending || flow->pass == PASS_EPOCH;
         flow->move_pending = false;
         flow->pass = PASS_MOVE;
@@ -55,16 +54,14 @@
     }
 }
 
-/* Says whether all records of the last change were sent. */
 bool
 flow_is_pushed(const struct flow *flow)
 {
     return flow->pass == PASS_NONE && !flow->move_pending &&
            !flow->epoch_pending && !flow->orphans_pending &&
-           flow->sends[FLOW_SEND_PUSH].length == 0;
+           flow->send_queues[FLOW_SEND_PUSH].length == 0;
 }
 
-/* Takes the members of a new epoch. */
 void
 flow_set_members(struct flow *flow, uint64_t now,
                  const struct member_set *members)
@@ -74,35 +71,34 @@
     }
     for (size_t i = 0; i < flow->members.count; i++) {
         if (member_find(members, flow->members.items[i].id) == NULL) {
-            flow->departed_until = now + FLOW_IDLE_S * 1000ULL;
-            /* It may not have pushed what it was the origin of. */
+            flow->orphans_until = now + FLOW_IDLE_TIMEOUT_S * 1000ULL;
+            /* The lost entry may not have pushed its own records. */
             flow->orphans_pending = flow->step < FLOW_STEP_FLIP;
         }
     }
-    flow_forget_known(flow);
+    flow_clear_filters(flow);
     if (flow->orphans_pending) {
-        flow->known_wanted = true;
-        flow->orphans_at = now + FLOW_ORPHANS_MS;
+        flow->filter_due = true;
+        flow->orphan_pass_at = now + FLOW_ORPHANS_DELAY_MS;
     }
-    /* While a pass is unfinished, its keepers before stay those to compare
-     * with, so that a second loss right after the first skips no record. */
+    /* An unfinished pass keeps comparing with its own old members, so a
+     * second loss shortly after the first skips no record. */
     if (flow->pass != PASS_EPOCH && !flow->epoch_pending) {
-        member_set_assign(&flow->before, flow->members.epoch,
+        member_set_assign(&flow->old_members, flow->members.epoch,
                           flow->members.items, flow->members.count);
     }
     member_set_assign(&flow->members, members->epoch, members->items,
                       members->count);
-    flow->complete_at = now + FLOW_REPAIR_MS;
+    flow->replicated_at = now + FLOW_REPLICATION_MS;
     flow->epoch_pending = true;
     if (flow->pass == PASS_EPOCH) {
         flow->pass = PASS_NONE;
     }
-    flow_begin_pass(flow);
+    flow_start_pass(flow);
 }
 
-/* Says whether a list of keepers holds an entry. */
 static bool
-holds(const struct member *const *keepers, size_t count, uint64_t id)
+includes(const struct member *const *keepers, size_t count, uint64_t id)
 {
     for (size_t i = 0; i < count; i++) {
         if (keepers[i]->id == id) {
@@ -112,7 +108,8 @@
     return false;
 }
 
-/* Says whether this entry is the first of the old keepers still alive. */
+/* True if this entry is the first old keeper that is still a member. Only
+ * that keeper pushes. */
 static bool
 is_first_survivor(const struct flow *flow, const struct member *const *old,
                   size_t count)
@@ -125,40 +122,41 @@
     return true;
 }
 
-/* After an epoch change: gives a record to keepers that are new to it. */
+/* After an epoch change: queues a record for keepers that are new to it. */
 static void
 push_to_new_keepers(struct flow *flow, const struct flow_record *record,
                     const struct member *const *keepers, size_t count)
 {
     const struct member *old[MEMBER_KEEPERS];
-    size_t old_count =
-        member_keepers(&flow->before, hash_pair(HASH_BUCKET, record->hash, 0),
-                       MEMBER_KEEPERS, old);
+    size_t old_count = member_keepers(&flow->old_members,
+                                      hash_pair(HASH_BUCKET, record->hash, 0),
+                                      MEMBER_KEEPERS, old);
 
     if (!is_first_survivor(flow, old, old_count)) {
         return;
     }
     for (size_t i = 0; i < count; i++) {
-        if (!holds(old, old_count, keepers[i]->id) &&
+        if (!includes(old, old_count, keepers[i]->id) &&
             keepers[i]->id != flow->options.self) {
-            flow_queue(flow, keepers[i]->id, record->hash, record->upstream,
-                       FLOW_SEND_PUSH);
+            flow_enqueue(flow, keepers[i]->id, record->hash, record->upstream,
+                         FLOW_SEND_PUSH);
         }
     }
 }
 
-/* Sends a record where the pass wants it. */
+/* Queues a record for the keepers that the current pass selects. */
 static void
-push_record(struct flow *flow, const struct flow_record *record, bool moved)
+push_record(struct flow *flow, const struct flow_record *record,
+            bool is_moving)
 {
     bool origin = record->flags & FLOW_FLAG_ORIGIN;
     const struct member *keepers[MEMBER_KEEPERS];
     size_t count;
 
-    if (flow->pass == PASS_MOVE && (!origin || !moved)) {
+    if (flow->pass == PASS_MOVE && (!origin || !is_moving)) {
         return;
     }
-    if (flow->pass == PASS_ORPHANS && (origin || !moved)) {
+    if (flow->pass == PASS_ORPHANS && (origin || !is_moving)) {
         return;
     }
     count =
@@ -169,28 +167,29 @@
         return;
     }
     if (flow->pass == PASS_ORPHANS) {
-        /* Every holder pushes, so two of the keepers must do. */
-        count = holds(keepers, count, flow->options.self) ? 0 : MIN(count, 2);
+        /* Every holder pushes: two keepers suffice. */
+        count =
+            includes(keepers, count, flow->options.self) ? 0 : MIN(count, 2);
     }
     for (size_t i = 0; i < count; i++) {
-        bool known = flow->pass == PASS_ORPHANS &&
-                     flow_is_known(flow, keepers[i]->id, record->hash);
+        bool has_record =
+            flow->pass == PASS_ORPHANS &&
+            flow_filter_contains(flow, keepers[i]->id, record->hash);
 
-        if (keepers[i]->id != flow->options.self && !known) {
-            flow_queue(flow, keepers[i]->id, record->hash, record->upstream,
-                       FLOW_SEND_PUSH);
+        if (keepers[i]->id != flow->options.self && !has_record) {
+            flow_enqueue(flow, keepers[i]->id, record->hash, record->upstream,
+                         FLOW_SEND_PUSH);
         }
     }
 }
 
-/* Looks at one place of the table. */
 static void
-scan_place(struct flow *flow, const struct flow_record *record)
+scan_slot(struct flow *flow, const struct flow_record *record)
 {
     const struct flow_upstream *u;
-    upstream_id now_owner;
+    upstream_id new_owner;
     upstream_id old_owner;
-    bool moved;
+    bool is_moving;
 
     if (record->hash == 0) {
         return;
@@ -199,60 +198,58 @@
     if (u == NULL) {
         return;
     }
-    moved = flow_is_moved(flow, &flow->services[u->service], record->hash,
-                          &now_owner, &old_owner);
-    if (record->upstream != now_owner ||
-        (moved && flow->step < FLOW_STEP_FLIP)) {
-        push_record(flow, record, moved);
+    is_moving = flow_bucket_is_moving(flow, &flow->services[u->service],
+                                      record->hash, &new_owner, &old_owner);
+    if (record->upstream != new_owner ||
+        (is_moving && flow->step < FLOW_STEP_FLIP)) {
+        push_record(flow, record, is_moving);
     }
 }
 
-/* Ends a pass and starts the next one. */
+/* Finishes a pass and starts the next one. */
 static void
-end_pass(struct flow *flow, uint64_t now)
+finish_pass(struct flow *flow, uint64_t now)
 {
-    if (flow->pass == PASS_MOVE && now < flow->departed_until) {
+    if (flow->pass == PASS_MOVE && now < flow->orphans_until) {
         flow->orphans_pending = true;
-        flow->known_wanted = true;
-        flow->orphans_at = now + FLOW_ORPHANS_MS;
+        flow->filter_due = true;
+        flow->orphan_pass_at = now + FLOW_ORPHANS_DELAY_MS;
     }
     flow->cursor = 0;
     flow->pass = PASS_NONE;
-    flow_begin_pass(flow);
+    flow_start_pass(flow);
 }
 
-/* Scans some places of the table. */
 bool
-flow_scan(struct flow *flow, uint64_t now, size_t places)
+flow_scan(struct flow *flow, uint64_t now, size_t slots)
 {
-    size_t end = MIN(flow->cursor + places, flow->store.mask + 1);
+    size_t end = MIN(flow->cursor + slots, flow->store.mask + 1);
 
     if (flow->pass == PASS_NONE) {
         return true;
     }
-    if (flow->pass == PASS_ORPHANS && now < flow->orphans_at) {
+    if (flow->pass == PASS_ORPHANS && now < flow->orphan_pass_at) {
         return false;
     }
     while (flow->cursor < end &&
-           flow->sends[FLOW_SEND_PUSH].length < FLOW_QUEUE_MAX) {
-        scan_place(flow, &flow->store.records[flow->cursor]);
+           flow->send_queues[FLOW_SEND_PUSH].length < FLOW_QUEUE_MAX) {
+        scan_slot(flow, &flow->store.records[flow->cursor]);
         flow->cursor++;
     }
     if (flow->cursor > flow->store.mask) {
-        end_pass(flow, now);
+        finish_pass(flow, now);
     }
     return flow->pass == PASS_NONE;
 }
 
-/* Takes records of one class. */
 size_t
-flow_take(struct flow *flow, enum flow_send_class class, struct flow_send *out,
-          size_t max)
+flow_dequeue(struct flow *flow, enum flow_send_class class,
+             struct flow_send *out, size_t max)
 {
     size_t count = 0;
 
-    while (count < max && flow->sends[class].length > 0) {
-        struct flow_send *send = g_queue_pop_head(&flow->sends[class]);
+    while (count < max && flow->send_queues[class].length > 0) {
+        struct flow_send *send = g_queue_pop_head(&flow->send_queues[class]);
 
         out[count++] = *send;
         g_free(send);
--- a/flow-steer.c
+++ b/flow-steer.c
@@ -1,30 +1,29 @@
 /*
- * The verdict on a packet. A flow with a record stays where it is; a flow
- * without one goes where the table says, unless its bucket moved, when up to
- * three keepers are asked in turn by handing them the packet itself.
+ * Steering decision for a packet. A recorded flow stays at its upstream;
+ * others follow the consistent-hash table. If the bucket moved, the packet is
+ * forwarded through up to three keepers, which may hold a record.
  */
 #include "flow-internal.h"
 
 #include "hash.h"
 
-/* One packet while it is decided. */
+/* Context of one decision. */
 struct steering {
     struct flow *flow;
     const struct flow_packet *packet;
     const struct flow_service *service;
     uint64_t now;
     uint64_t wall;
-    upstream_id now_owner;
+    upstream_id new_owner;
     upstream_id old_owner;
-    bool moved;
+    bool is_moving;
     const struct member *keepers[MEMBER_KEEPERS];
     size_t keeper_count;
     struct flow_verdict *out;
 };
 
-/* Notes an upstream's endpoint in a decision's record. */
 static void
-note_endpoint(const struct flow *flow, upstream_id id, uint32_t *address,
+copy_endpoint(const struct flow *flow, upstream_id id, uint32_t *address,
               uint16_t *port)
 {
     const struct flow_upstream *u = flow_upstream(flow, id);
@@ -35,9 +34,9 @@
     }
 }
 
-/* Keeps the decision for explain. */
+/* Adds the decision to the ring for explain. */
 static void
-note_decision(const struct steering *s)
+record_decision(const struct steering *s)
 {
     struct ring_record record = {
         .at = s->wall,
@@ -58,29 +57,28 @@
         record.service = s->service->key;
         record.table_digest = s->service->digest;
     }
-    note_endpoint(s->flow, s->out->upstream, &record.address, &record.port);
-    note_endpoint(s->flow, s->now_owner, &record.new_address,
+    copy_endpoint(s->flow, s->out->upstream, &record.address, &record.port);
+    copy_endpoint(s->flow, s->new_owner, &record.new_address,
                   &record.new_port);
-    note_endpoint(s->flow, s->old_owner, &record.old_address,
+    copy_endpoint(s->flow, s->old_owner, &record.old_address,
                   &record.old_port);
     ring_add(s->flow->options.ring, &record);
 }
 
-/* Ends with a drop. */
 static void
 drop(struct steering *s, enum ring_rule rule, enum counter_id counter)
 {
     s->out->action = FLOW_DROP;
     s->out->rule = rule;
     counter_add(s->flow->options.counters, counter, 1);
-    note_decision(s);
+    record_decision(s);
 }
 
-/* Ends by handing the packet to another entry. */
 static void
-hand(struct steering *s, enum ring_rule rule, uint64_t peer, uint8_t position)
+forward_to_entry(struct steering *s, enum ring_rule rule, uint64_t peer,
+                 uint8_t position)
 {
-    s->out->action = FLOW_HAND;
+    s->out->action = FLOW_FORWARD_TO_ENTRY;
     s->out->rule = rule;
     s->out->peer = peer;
     s->out->position = position;
@@ -88,12 +86,12 @@
     s->out->origin =
         s->packet->handed ? s->packet->origin : s->flow->options.self;
     counter_add(s->flow->options.counters, COUNTER_PACKETS_TO_PEER, 1);
-    note_decision(s);
+    record_decision(s);
 }
 
-/* Hands the packet to any peer, since this entry may not decide. */
+/* Without a lease this entry may not decide; another member does. */
 static void
-hand_to_peer(struct steering *s)
+forward_to_any_entry(struct steering *s)
 {
     uint64_t key = s->packet->hash + s->packet->hops;
     const struct member *peer =
@@ -103,12 +101,12 @@
         drop(s, RULE_NO_LEASE, COUNTER_PACKETS_NO_UPSTREAM);
         return;
     }
-    hand(s, RULE_NO_LEASE, peer->id, 0);
+    forward_to_entry(s, RULE_NO_LEASE, peer->id, 0);
 }
 
-/* Ends by placing a flow that had no record here. */
+/* Assigns a flow without a local record to an upstream. */
 static void
-place(struct steering *s, enum ring_rule rule, upstream_id upstream)
+assign(struct steering *s, enum ring_rule rule, upstream_id upstream)
 {
     struct flow_record *record;
     struct flow_upstream *u;
@@ -118,42 +116,43 @@
         return;
     }
     record = flow_store_put(s->flow, s->now, s->packet->hash, upstream);
-    /* Only a first packet makes an origin; UDP does not mark any. */
+    /* The origin saw the first packet; UDP has no mark for one. */
     if ((s->packet->first || s->service->protocol == BUNDLE_UDP) &&
         s->packet->position == 0) {
         record->flags |= FLOW_FLAG_ORIGIN;
     }
     u = (struct flow_upstream *)flow_upstream(s->flow, upstream);
-    u->placed++;
+    u->assigned++;
     s->out->action = FLOW_FORWARD;
     s->out->rule = rule;
     s->out->upstream = upstream;
     counter_add(s->flow->options.counters, COUNTER_FLOWS_NEW, 1);
-    note_decision(s);
+    record_decision(s);
 }
 
-/* Tells the other keepers and the asking entry what a keeper decided. */
+/* Sends a keeper's decision to the other keepers and to the origin. */
 static void
-tell_others(struct steering *s, upstream_id upstream)
+replicate_decision(struct steering *s, upstream_id upstream)
 {
     uint64_t self = s->flow->options.self;
-    bool origin_told = !s->packet->handed || s->packet->origin == self;
+    bool origin_has_record = !s->packet->handed || s->packet->origin == self;
 
     for (size_t i = 0; i < s->keeper_count; i++) {
         uint64_t id = s->keepers[i]->id;
 
-        origin_told = origin_told || id == s->packet->origin;
+        origin_has_record = origin_has_record || id == s->packet->origin;
         if (id != self) {
-            flow_queue(s->flow, id, s->packet->hash, upstream, FLOW_SEND_COPY);
+            flow_enqueue(s->flow, id, s->packet->hash, upstream,
+                         FLOW_SEND_COPY);
         }
     }
-    if (!origin_told) {
-        flow_queue(s->flow, s->packet->origin, s->packet->hash, upstream,
-                   FLOW_SEND_HINT);
+    if (!origin_has_record) {
+        flow_enqueue(s->flow, s->packet->origin, s->packet->hash, upstream,
+                     FLOW_SEND_HINT);
     }
 }
 
-/* Decides as the last keeper asked. */
+/* Decides, as a keeper, for a flow without a record. */
 static void
 decide_as_keeper(struct steering *s)
 {
@@ -162,35 +161,35 @@
                    (udp && s->flow->step >= FLOW_STEP_MOVE &&
                     s->now >= s->flow->flip_udp_at);
     enum ring_rule rule = RULE_KEEPER_DEFAULT;
-    upstream_id upstream = s->now_owner;
+    upstream_id upstream = s->new_owner;
 
-    if (s->moved && s->packet->first) {
+    if (s->is_moving && s->packet->first) {
         bool announced = s->flow->step < FLOW_STEP_MOVE;
 
         rule = announced ? RULE_KEEPER_ANNOUNCED : RULE_KEEPER_NEW;
-        upstream = announced ? s->old_owner : s->now_owner;
+        upstream = announced ? s->old_owner : s->new_owner;
     }
-    else if (s->moved && !flipped) {
+    else if (s->is_moving && !flipped) {
         rule = RULE_KEEPER_OLD;
         upstream = s->old_owner;
     }
-    place(s, rule, upstream);
-    /* Once unknown flows follow the table, a flow that does needs no record
-     * at other keepers. */
-    if (s->out->action == FLOW_FORWARD && s->moved && !flipped) {
-        tell_others(s, upstream);
+    assign(s, rule, upstream);
+    /* After the flip unknown flows follow the table and need no record at
+     * other keepers. */
+    if (s->out->action == FLOW_FORWARD && s->is_moving && !flipped) {
+        replicate_decision(s, upstream);
     }
 }
 
-/* Says whether this keeper's not knowing a flow is final: the step before
- * waited until all records were confirmed, and no keeper is new. */
+/* True if a missing record is final: the step before FLOW_STEP_FLIP waited
+ * for all records, and no keeper is new. */
 static bool
-is_complete(const struct steering *s)
+keepers_have_all(const struct steering *s)
 {
-    return s->flow->step >= FLOW_STEP_FLIP && s->now >= s->flow->complete_at;
+    return s->flow->step >= FLOW_STEP_FLIP && s->now >= s->flow->replicated_at;
 }
 
-/* Says whether a keeper was asked before, by whatever view. */
+/* True if the keeper is among those asked, in any view. */
 static bool
 was_asked(const struct steering *s, uint64_t id)
 {
@@ -204,7 +203,7 @@
     return false;
 }
 
-/* Finds the next keeper to ask: in this view, not this entry, not asked. */
+/* Next keeper of this view that was not asked yet; NULL if none is left. */
 static const struct member *
 next_keeper(const struct steering *s)
 {
@@ -220,9 +219,9 @@
     return NULL;
 }
 
-/* Hands the packet to a keeper, which looks and then asks the next. */
+/* The keeper looks for a record, then asks the next keeper. */
 static void
-hand_to_keeper(struct steering *s, const struct member *keeper)
+forward_to_keeper(struct steering *s, const struct member *keeper)
 {
     uint8_t position = s->packet->position;
 
@@ -230,10 +229,10 @@
         s->out->asked[i] = s->packet->asked[i];
     }
     s->out->asked[position] = (uint16_t)keeper->id;
-    hand(s, RULE_ASK_KEEPER, keeper->id, (uint8_t)(position + 1));
+    forward_to_entry(s, RULE_ASK_KEEPER, keeper->id, (uint8_t)(position + 1));
 }
 
-/* Asks the next keeper that has not looked, or decides after the last. */
+/* Decides as a keeper, or forwards to the next one. */
 static void
 ask_keepers(struct steering *s)
 {
@@ -246,56 +245,56 @@
         MEMBER_KEEPERS, s->keepers);
     first_keeper = s->packet->position > 0 ||
                    (s->keeper_count > 0 && s->keepers[0]->id == self);
-    if (first_keeper && (s->packet->first || is_complete(s))) {
+    if (first_keeper && (s->packet->first || keepers_have_all(s))) {
         decide_as_keeper(s);
         return;
     }
     next = next_keeper(s);
     if (next != NULL) {
-        hand_to_keeper(s, next);
+        forward_to_keeper(s, next);
         return;
     }
     decide_as_keeper(s);
 }
 
-/* Decides about a flow that has no record here. */
+/* Decides for a flow without a local record. */
 static void
 steer_unknown(struct steering *s)
 {
     bool asked = s->packet->handed && s->packet->position > 0;
-    bool disturbed;
+    bool moved_recently;
 
     if (s->now >= s->flow->lease_deadline) {
-        hand_to_peer(s);
+        forward_to_any_entry(s);
         return;
     }
-    s->moved = flow_is_moved(s->flow, s->service, s->packet->hash,
-                             &s->now_owner, &s->old_owner);
-    disturbed = flow_is_disturbed(s->service, s->now, s->packet->hash);
-    if (asked || s->moved || (disturbed && !s->packet->first)) {
+    s->is_moving = flow_bucket_is_moving(s->flow, s->service, s->packet->hash,
+                                         &s->new_owner, &s->old_owner);
+    moved_recently =
+        flow_bucket_moved_recently(s->service, s->now, s->packet->hash);
+    if (asked || s->is_moving || (moved_recently && !s->packet->first)) {
         ask_keepers(s);
         return;
     }
-    place(s, RULE_SETTLED, s->now_owner);
+    assign(s, RULE_SETTLED, s->new_owner);
 }
 
-/* Tells an entry that asks again and again. Short flows are answered packet
- * by packet, which costs a hop but no message. */
+/* Sends a hint to an entry that asked FLOW_QUERIES_MAX times. Fewer queries
+ * cost a hop per packet but no message, which suits short flows. */
 static void
-tell_asker(struct steering *s, struct flow_record *record)
+note_query(struct steering *s, struct flow_record *record)
 {
-    uint32_t asked = (record->flags >> FLOW_ASKED_SHIFT) + 1;
+    uint32_t asked = (record->flags >> FLOW_QUERIES_SHIFT) + 1;
 
-    if (asked == FLOW_ASKED_MAX) {
+    if (asked == FLOW_QUERIES_MAX) {
         asked = 0;
-        flow_queue(s->flow, s->packet->origin, s->packet->hash,
-                   record->upstream, FLOW_SEND_HINT);
+        flow_enqueue(s->flow, s->packet->origin, s->packet->hash,
+                     record->upstream, FLOW_SEND_HINT);
     }
-    record->flags = (record->flags & ((1U << FLOW_ASKED_SHIFT) - 1)) |
-                    (asked << FLOW_ASKED_SHIFT);
+    record->flags = (record->flags & ((1U << FLOW_QUERIES_SHIFT) - 1)) |
+                    (asked << FLOW_QUERIES_SHIFT);
 }
 
-/* Forwards a flow that has a record. */
 static void
 steer_recorded(struct steering *s, struct flow_record *record)
 {
@@ -308,11 +307,10 @@
     s->out->upstream = record->upstream;
     if (s->packet->handed && s->packet->position > 0 &&
         s->packet->origin != s->flow->options.self) {
-        tell_asker(s, record);
+        note_query(s, record);
     }
 }
 
-/* Decides about one packet. */
 void
 flow_steer(struct flow *flow, uint64_t now, uint64_t wall,
            const struct flow_packet *packet, struct flow_verdict *out)
@@ -328,7 +326,7 @@
         return;
     }
     if (now >= flow->lease_deadline + FLOW_STALE_MS) {
-        hand_to_peer(&s);
+        forward_to_any_entry(&s);
         return;
     }
     if (packet->service >= flow->service_count) {
@@ -345,7 +343,6 @@
     steer_unknown(&s);
 }
 
-/* Takes another entry's record, unless one of our own exists. */
 void
 flow_learn(struct flow *flow, uint64_t now, uint64_t hash, uint32_t address,
            uint16_t port)
--- a/flow-store.c
+++ b/flow-store.c
@@ -1,7 +1,7 @@
 /*
- * The records of flows: a fixed table with open addressing. A record stands
- * within FLOW_PROBE places of its first; nothing is moved or emptied, so a
- * lookup ends at the first place never used. Knows no view.
+ * Flow records in a fixed-size hash table with linear probing over at most
+ * FLOW_PROBE_MAX slots. Slots are reused but never emptied, so a lookup ends
+ * at the first slot that was never used.
  */
 #include "flow-internal.h"
 
@@ -11,7 +11,6 @@
 
 #define HUGE_PAGE ((size_t)2 * 1024 * 1024)
 
-/* Allocates the table. */
 void
 flow_store_open(struct flow_store *store, size_t capacity)
 {
@@ -30,18 +29,16 @@
     store->count = 0;
 }
 
-/* Frees the table. */
 void
 flow_store_close(struct flow_store *store)
 {
     free(store->records);
 }
 
-/* Finds a flow's record. */
 struct flow_record *
 flow_store_find(struct flow_store *store, uint64_t hash)
 {
-    for (size_t i = 0; i < FLOW_PROBE; i++) {
+    for (size_t i = 0; i < FLOW_PROBE_MAX; i++) {
         struct flow_record *record = &store->records[(hash + i) & store->mask];
 
         if (record->hash == hash) {
@@ -54,14 +51,12 @@
     return NULL;
 }
 
-/* Fetches a place early: the table is larger than the cache. */
 void
 flow_prefetch(const struct flow *flow, uint64_t hash)
 {
     __builtin_prefetch(&flow->store.records[hash & flow->store.mask], 1);
 }
 
-/* Seconds since a record was last used. */
 static uint32_t
 idle_seconds(const struct flow_record *record, uint64_t now)
 {
@@ -70,29 +65,30 @@
     return ((uint32_t)(now / 1000) - record->seen) & mask;
 }
 
-/* Says whether a record's place may be used again. */
+/* True if the slot is empty, its record expired or its upstream is gone. */
 static bool
-is_free(const struct flow *flow, const struct flow_record *record,
-        uint64_t now)
+is_reusable(const struct flow *flow, const struct flow_record *record,
+            uint64_t now)
 {
-    uint32_t limit =
-        (record->flags & FLOW_FLAG_CLOSING) ? FLOW_CLOSING_S : FLOW_IDLE_S;
+    uint32_t limit = (record->flags & FLOW_FLAG_CLOSING)
+                         ? FLOW_CLOSING_TIMEOUT_S
+                         : FLOW_IDLE_TIMEOUT_S;
 
     return record->hash == 0 || idle_seconds(record, now) > limit ||
            flow_upstream(flow, record->upstream) == NULL;
 }
 
-/* Picks the place for a new record: a free one, else the longest idle. */
+/* Picks a reusable slot for a new record, else evicts the longest idle one. */
 static struct flow_record *
-pick_place(struct flow *flow, uint64_t now, uint64_t hash)
+pick_slot(struct flow *flow, uint64_t now, uint64_t hash)
 {
     struct flow_store *store = &flow->store;
     struct flow_record *oldest = NULL;
 
-    for (size_t i = 0; i < FLOW_PROBE; i++) {
+    for (size_t i = 0; i < FLOW_PROBE_MAX; i++) {
         struct flow_record *record = &store->records[(hash + i) & store->mask];
 
-        if (is_free(flow, record, now)) {
+        if (is_reusable(flow, record, now)) {
             store->count += record->hash == 0;
             return record;
         }
@@ -105,7 +101,7 @@
     return oldest;
 }
 
-/* Stores or replaces a flow's record. */
+/* Inserts or replaces a record. */
 struct flow_record *
 flow_store_put(struct flow *flow, uint64_t now, uint64_t hash,
                upstream_id upstream)
@@ -113,7 +109,7 @@
     struct flow_record *record = flow_store_find(&flow->store, hash);
 
     if (record == NULL) {
-        record = pick_place(flow, now, hash);
+        record = pick_slot(flow, now, hash);
         record->flags = 0;
     }
     record->hash = hash;
@@ -122,7 +118,6 @@
     return record;
 }
 
-/* Notes that a record was used. */
 void
 flow_store_touch(struct flow_record *record, uint64_t now)
 {
--- a/flow-view.c
+++ b/flow-view.c
@@ -1,6 +1,6 @@
 /*
- * The view of one entry: services, their tables now and before the last
- * change, and the handles of upstreams. Decides nothing about packets.
+ * View of an entry: services, their consistent-hash tables of the current and
+ * the preceding bundle, and handles of upstreams.
  */
 #include "flow-internal.h"
 
@@ -12,14 +12,14 @@
 #define INDEX_MASK ((1U << GENERATION_SHIFT) - 1)
 #define GENERATION_MAX 4095
 
-/* Packs an endpoint into a hash key. */
+/* Hash key of an address and port. */
 static gpointer
 endpoint(uint32_t address, uint16_t port)
 {
     return GSIZE_TO_POINTER(((gsize)address << 16) | port);
 }
 
-/* Packs a service's endpoint and protocol into a hash key. */
+/* Hash key of an address, port and protocol. */
 static gpointer
 service_endpoint(uint32_t address, uint16_t port, int protocol)
 {
@@ -27,7 +27,6 @@
                             (gsize)protocol);
 }
 
-/* Makes a handle. */
 static upstream_id
 make_id(size_t index, uint16_t generation)
 {
@@ -35,7 +34,6 @@
                          (uint32_t)index);
 }
 
-/* Looks an upstream up by handle. */
 const struct flow_upstream *
 flow_upstream(const struct flow *flow, upstream_id id)
 {
@@ -49,7 +47,6 @@
     return &flow->upstreams[index];
 }
 
-/* Finds an upstream's handle by endpoint. */
 upstream_id
 flow_lookup_upstream(const struct flow *flow, uint32_t address, uint16_t port)
 {
@@ -57,9 +54,9 @@
         g_hash_table_lookup(flow->by_upstream, endpoint(address, port)));
 }
 
-/* Finds a place for a new upstream; grows the array when all are used. */
+/* Finds a free slot for an upstream; doubles the array if there is none. */
 static size_t
-free_place(struct flow *flow)
+find_free_slot(struct flow *flow)
 {
     size_t old = flow->upstream_size;
 
@@ -79,7 +76,7 @@
     return old ? old : 1;
 }
 
-/* Gives an endpoint its handle, a new one when it has none. */
+/* Returns the handle of an endpoint, a new one if it has none. */
 upstream_id
 flow_intern(struct flow *flow, uint32_t address, uint16_t port)
 {
@@ -90,11 +87,11 @@
     if (id != FLOW_NO_UPSTREAM) {
         return id;
     }
-    index = free_place(flow);
+    index = find_free_slot(flow);
     upstream = &flow->upstreams[index];
     upstream->address = address;
     upstream->port = port;
-    upstream->placed = 0;
+    upstream->assigned = 0;
     upstream->generation = upstream->generation % GENERATION_MAX + 1;
     id = make_id(index, upstream->generation);
     g_hash_table_insert(flow->by_upstream, endpoint(address, port),
@@ -102,7 +99,6 @@
     return id;
 }
 
-/* Fills a table from a bundle's service; NULL when it has no flow table. */
 static uint16_t *
 fill_table(const struct bundle_service *service, uint32_t *size)
 {
@@ -123,17 +119,15 @@
     return table;
 }
 
-/* Frees what a service holds. */
 static void
 clear_service(struct flow_service *service)
 {
-    g_free(service->now);
-    g_free(service->old);
-    g_free(service->stamps);
+    g_free(service->table);
+    g_free(service->old_table);
+    g_free(service->move_stamps);
     g_free(service->upstreams);
 }
 
-/* Finds a service of the view that is in force, by name. */
 static const struct flow_service *
 find_named(const struct flow *flow, const char *name)
 {
@@ -145,10 +139,10 @@
     return NULL;
 }
 
-/* Index in `after` of an upstream of `before`, TABLE_NONE if it is gone. */
+/* Index in `after` of an upstream; TABLE_NONE if absent. */
 static uint16_t
-index_after(const struct bundle_service *after,
-            const struct bundle_upstream *upstream)
+find_index_after(const struct bundle_service *after,
+                 const struct bundle_upstream *upstream)
 {
     for (size_t i = 0; i < after->upstream_count; i++) {
         if (after->upstreams[i].address == upstream->address &&
@@ -159,64 +153,66 @@
     return TABLE_NONE;
 }
 
-/* Fills the table before the change, in indexes of the new upstreams. */
+/* Fills the preceding table, with the new indexes of the upstreams. */
 static void
-fill_old(struct flow_service *service, const struct bundle_service *after,
-         const struct bundle_service *before)
+fill_old_table(struct flow_service *service,
+               const struct bundle_service *after,
+               const struct bundle_service *before)
 {
     uint16_t *map;
 
     if (before == NULL || before->kind != BUNDLE_FLOW) {
         return;
     }
-    service->old = fill_table(before, &service->old_size);
+    service->old_table = fill_table(before, &service->old_size);
     map = g_new(uint16_t, before->upstream_count);
     for (size_t i = 0; i < before->upstream_count; i++) {
-        map[i] = index_after(after, &before->upstreams[i]);
+        map[i] = find_index_after(after, &before->upstreams[i]);
     }
     for (uint32_t i = 0; i < service->old_size; i++) {
-        if (service->old[i] != TABLE_NONE) {
-            service->old[i] = map[service->old[i]];
+        if (service->old_table[i] != TABLE_NONE) {
+            service->old_table[i] = map[service->old_table[i]];
         }
     }
     g_free(map);
 }
 
-/* The unit of `stamps` for a time; never 0. */
+/* Time in units of FLOW_STAMP_MS; never 0. */
 static uint16_t
-stamp_of(uint64_t now)
+stamp_at(uint64_t now)
 {
     return (uint16_t)(now / FLOW_STAMP_MS % UINT16_MAX + 1);
 }
 
-/* Stamps the buckets whose flows may be elsewhere than the table says. */
+/* Stamps the buckets whose flows may be at another upstream than the table
+ * says. */
 static void
-stamp_buckets(struct flow_service *service, const struct flow_service *held,
+stamp_buckets(struct flow_service *service, const struct flow_service *current,
               uint64_t now, bool history_known)
 {
-    bool keep = held != NULL && held->size == service->size;
+    bool keep = current != NULL && current->size == service->size;
 
-    service->stamps = g_new0(uint16_t, service->size);
+    service->move_stamps = g_new0(uint16_t, service->size);
     for (uint32_t i = 0; i < service->size; i++) {
-        bool moved =
-            service->old_size != 0 && (service->old_size != service->size ||
-                                       service->old[i] != service->now[i]);
+        bool moved = service->old_size != 0 &&
+                     (service->old_size != service->size ||
+                      service->old_table[i] != service->table[i]);
 
         if (!history_known || moved) {
-            service->stamps[i] = stamp_of(now);
+            service->move_stamps[i] = stamp_at(now);
         }
         else if (keep) {
-            service->stamps[i] = held->stamps[i];
+            service->move_stamps[i] = current->move_stamps[i];
         }
     }
 }
 
-/* Hash of the table and the endpoints it points to. */
+/* Digest of the table and of the endpoints in it. */
 static uint64_t
-digest_of(const struct flow *flow, const struct flow_service *service)
+digest_table(const struct flow *flow, const struct flow_service *service)
 {
-    uint64_t digest = hash_bytes(HASH_BUCKET, service->now,
-                                 service->size * sizeof(*service->now));
+    uint64_t digest = hash_bytes(HASH_BUCKET, service->table,
+                                 service->size * sizeof(*service->table));
 
     for (size_t i = 0; i < service->upstream_count; i++) {
         size_t index = service->upstreams[i] & INDEX_MASK;
@@ -228,7 +224,6 @@
     return digest;
 }
 
-/* Builds one service of a new view. */
 static void
 build_service(struct flow *flow, uint64_t now, struct flow_service *service,
               const struct bundle_service *after,
@@ -239,8 +234,8 @@
     service->address = after->address;
     service->port = (uint16_t)after->port;
     service->protocol = (uint8_t)after->protocol;
-    service->now = fill_table(after, &service->size);
-    fill_old(service, after, before);
+    service->table = fill_table(after, &service->size);
+    fill_old_table(service, after, before);
     stamp_buckets(service, find_named(flow, after->name), now, history_known);
     service->upstream_count = after->upstream_count;
     service->upstreams = g_new(upstream_id, after->upstream_count);
@@ -249,12 +244,12 @@
             flow_intern(flow, after->upstreams[i].address,
                         (uint16_t)after->upstreams[i].port);
     }
-    service->digest = digest_of(flow, service);
+    service->digest = digest_table(flow, service);
 }
 
-/* Ties upstreams to the services of the new view; frees the others. */
+/* Binds upstreams to the services of the new view; frees the others. */
 static void
-tie_upstreams(struct flow *flow, const struct bundle *bundle)
+bind_upstreams(struct flow *flow, const struct bundle *bundle)
 {
     size_t index = 0;
 
@@ -287,7 +282,6 @@
     }
 }
 
-/* Replaces the services by those of a new bundle. */
 static void
 replace_services(struct flow *flow, uint64_t now, const struct bundle *bundle,
                  const struct bundle *before, bool history_known)
@@ -322,7 +316,6 @@
     }
 }
 
-/* Takes a newer bundle. */
 bool
 flow_apply(struct flow *flow, uint64_t now, const struct bundle *bundle,
            const struct bundle *before, enum flow_step step)
@@ -335,17 +328,16 @@
         return false;
     }
     replace_services(flow, now, bundle, before, history_known);
-    tie_upstreams(flow, bundle);
+    bind_upstreams(flow, bundle);
     flow->version = bundle->version;
     flow->step = FLOW_STEP_NONE;
     (void)flow_advance(flow, now, step);
     flow->move_pending = true;
-    flow_begin_pass(flow);
+    flow_start_pass(flow);
     counter_add(flow->options.counters, COUNTER_BUNDLES_APPLIED, 1);
     return true;
 }
 
-/* Moves to a later step of the same bundle. */
 bool
 flow_advance(struct flow *flow, uint64_t now, enum flow_step step)
 {
@@ -359,7 +351,6 @@
     return true;
 }
 
-/* Finds a service by the callers' endpoint. */
 uint16_t
 flow_find_service(const struct flow *flow, uint32_t address, uint16_t port,
                   int protocol)
@@ -370,7 +361,6 @@
     return found ? (uint16_t)(found - 1) : FLOW_NO_SERVICE;
 }
 
-/* Finds a service by an upstream's endpoint. */
 uint16_t
 flow_find_return(const struct flow *flow, uint32_t address, uint16_t port,
                  int protocol)
@@ -384,7 +374,6 @@
     return u->service;
 }
 
-/* Finds a service by name. */
 uint16_t
 flow_find_named(const struct flow *flow, const char *name)
 {
@@ -393,19 +382,17 @@
     return found ? (uint16_t)(found - flow->services) : FLOW_NO_SERVICE;
 }
 
-/* Counts the flows placed at an endpoint. */
 uint64_t
-flow_placed(const struct flow *flow, uint32_t address, uint16_t port)
+flow_assigned(const struct flow *flow, uint32_t address, uint16_t port)
 {
     const struct flow_upstream *u =
         flow_upstream(flow, flow_lookup_upstream(flow, address, port));
 
-    return u ? u->placed : 0;
+    return u ? u->assigned : 0;
 }
 
-/* Finds the upstream of a flow's record. */
 upstream_id
-flow_recorded(const struct flow *flow, uint64_t hash)
+flow_find_recorded(const struct flow *flow, uint64_t hash)
 {
     const struct flow_record *record =
         flow_store_find((struct flow_store *)&flow->store, hash);
@@ -413,7 +400,6 @@
     return record ? record->upstream : FLOW_NO_UPSTREAM;
 }
 
-/* Gives the callers' endpoint of a service. */
 void
 flow_service_endpoint(const struct flow *flow, uint16_t service,
                       uint32_t *address, uint16_t *port)
@@ -422,57 +408,56 @@
     *port = flow->services[service].port;
 }
 
-/* Handle of a table's owner, FLOW_NO_UPSTREAM for TABLE_NONE. */
+/* FLOW_NO_UPSTREAM for TABLE_NONE. */
 static upstream_id
 owner(const struct flow_service *service, uint16_t index)
 {
     return index == TABLE_NONE ? FLOW_NO_UPSTREAM : service->upstreams[index];
 }
 
-/* Finds the owners of a flow, and whether its bucket is moving. */
+/* Also gives the owners of the bucket. */
 bool
-flow_is_moved(const struct flow *flow, const struct flow_service *service,
-              uint64_t hash, upstream_id *now, upstream_id *old)
+flow_bucket_is_moving(const struct flow *flow,
+                      const struct flow_service *service, uint64_t hash,
+                      upstream_id *new_owner, upstream_id *old_owner)
 {
-    *now = owner(service, service->now[hash % service->size]);
-    *old = *now;
+    *new_owner = owner(service, service->table[hash % service->size]);
+    *old_owner = *new_owner;
     if (service->old_size != 0) {
-        *old = owner(service, service->old[hash % service->old_size]);
+        *old_owner =
+            owner(service, service->old_table[hash % service->old_size]);
     }
-    if (*old == FLOW_NO_UPSTREAM) {
-        *old = *now;
+    if (*old_owner == FLOW_NO_UPSTREAM) {
+        *old_owner = *new_owner;
     }
-    return flow->step < FLOW_STEP_SETTLED && *old != *now;
+    return flow->step < FLOW_STEP_SETTLED && *old_owner != *new_owner;
 }
 
-/* Says whether a flow of this bucket may be elsewhere than its owner. */
+/* True for FLOW_MOVED_BUCKET_S after a move of the bucket. */
 bool
-flow_is_disturbed(const struct flow_service *service, uint64_t now,
-                  uint64_t hash)
+flow_bucket_moved_recently(const struct flow_service *service, uint64_t now,
+                           uint64_t hash)
 {
-    uint16_t stamp = service->stamps[hash % service->size];
+    uint16_t stamp = service->move_stamps[hash % service->size];
     uint64_t age = now / FLOW_STAMP_MS % UINT16_MAX + 1 - stamp;
 
-    return stamp != 0 && age * (FLOW_STAMP_MS / 1000) <= FLOW_EXCEPTION_S;
+    return stamp != 0 && age * (FLOW_STAMP_MS / 1000) <= FLOW_MOVED_BUCKET_S;
 }
 
-/* The owners, for callers outside. */
 void
 flow_owners(const struct flow *flow, uint16_t service, uint64_t hash,
-            upstream_id *now_owner, upstream_id *old_owner)
+            upstream_id *new_owner, upstream_id *old_owner)
 {
-    (void)flow_is_moved(flow, &flow->services[service], hash, now_owner,
-                        old_owner);
+    (void)flow_bucket_is_moving(flow, &flow->services[service], hash,
+                                new_owner, old_owner);
 }
 
-/* Digest of a service's table. */
 uint64_t
 flow_table_digest(const struct flow *flow, uint16_t service)
 {
     return service < flow->service_count ? flow->services[service].digest : 0;
 }
 
-/* Allocates a steering state. */
 struct flow *
 flow_new(const struct flow_options *options)
 {
@@ -482,15 +467,14 @@
     flow_store_open(&flow->store, options->capacity);
     flow->by_address = g_hash_table_new(NULL, NULL);
     flow->by_upstream = g_hash_table_new(NULL, NULL);
-    flow->known = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
-                                        (GDestroyNotify)g_bytes_unref);
+    flow->filters = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
+                                          (GDestroyNotify)g_bytes_unref);
     for (int i = 0; i <= FLOW_SEND_PUSH; i++) {
-        g_queue_init(&flow->sends[i]);
+        g_queue_init(&flow->send_queues[i]);
     }
     return flow;
 }
 
-/* Frees a steering state. */
 void
 flow_free(struct flow *flow)
 {
@@ -501,45 +485,40 @@
     g_free(flow->upstreams);
     g_hash_table_destroy(flow->by_address);
     g_hash_table_destroy(flow->by_upstream);
-    g_hash_table_destroy(flow->known);
+    g_hash_table_destroy(flow->filters);
     for (int i = 0; i <= FLOW_SEND_PUSH; i++) {
-        g_queue_clear_full(&flow->sends[i], g_free);
+        g_queue_clear_full(&flow->send_queues[i], g_free);
     }
     member_set_clear(&flow->members);
-    member_set_clear(&flow->before);
+    member_set_clear(&flow->old_members);
     flow_store_close(&flow->store);
     g_free(flow);
 }
 
-/* Sets the end of the lease. */
 void
 flow_set_lease(struct flow *flow, uint64_t deadline)
 {
     flow->lease_deadline = deadline;
 }
 
-/* Version in force here. */
 uint64_t
 flow_version(const struct flow *flow)
 {
     return flow->version;
 }
 
-/* Step in force here. */
 enum flow_step
 flow_step(const struct flow *flow)
 {
     return flow->step;
 }
 
-/* Records held, counting places ever used. */
 size_t
 flow_records(const struct flow *flow)
 {
     return flow->store.count;
 }
 
-/* Bytes of all structures. */
 size_t
 flow_memory(const struct flow *flow)
 {
@@ -551,13 +530,13 @@
         const struct flow_service *s = &flow->services[i];
 
         bytes += sizeof(*s) + s->upstream_count * sizeof(upstream_id);
-        bytes += s->size * (sizeof(*s->now) + sizeof(*s->stamps));
-        bytes += s->old_size * sizeof(*s->old);
+        bytes += s->size * (sizeof(*s->table) + sizeof(*s->move_stamps));
+        bytes += s->old_size * sizeof(*s->old_table);
     }
-    bytes +=
-        (flow->members.count + flow->before.count) * sizeof(struct member);
+    bytes += (flow->members.count + flow->old_members.count) *
+             sizeof(struct member);
     for (int i = 0; i <= FLOW_SEND_PUSH; i++) {
-        bytes += flow->sends[i].length *
+        bytes += flow->send_queues[i].length *
                  (sizeof(struct flow_send) + 3 * sizeof(void *));
     }
     return bytes;
--- a/hall.c
+++ b/hall.c
@@ -62,7 +62,7 @@
 {
     if (received->revision == set->revision ||
         (received->revision < set->revision &&
-         !fault_is(FAULT_HALLS_UNORDERED))) {
+         !fault_is(FAULT_HALLS_UNVERSIONED))) {
         return false;
     }
     set->revision = received->revision;
--- a/hash.c
+++ b/hash.c
@@ -4,14 +4,12 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Hashes bytes with the seed of one use. */
 uint64_t
 hash_bytes(enum hash_use use, const void *bytes, size_t length)
 {
     return XXH3_64bits_withSeed(bytes, length, (XXH64_hash_t)use);
 }
 
-/* Hashes two numbers. */
 uint64_t
 hash_pair(enum hash_use use, uint64_t a, uint64_t b)
 {
@@ -20,14 +18,12 @@
     return hash_bytes(use, pair, sizeof(pair));
 }
 
-/* Checksum of a message or a stored inventory. */
 uint64_t
 hash_checksum(const void *bytes, size_t length)
 {
     return hash_bytes(HASH_KEY, bytes, length);
 }
 
-/* Hashes a name. */
 uint64_t
 hash_name(const char *name)
 {
--- a/library.c
+++ b/library.c
@@ -1,16 +1,12 @@
-/*
- * Libraries that are loaded on demand. Owns the tables of their functions;
- * calls none of these.
- */
+/* Loading of shared libraries with dlopen(). */
 #include "library.h"
 
 #include <dlfcn.h>
 #include <stddef.h>
 #include <string.h>
 
-/* Names of the shared objects. The Makefile reads them, with their versions,
- * off the libraries that the program is compiled against; those here are for
- * what compiles this file without the Makefile, such as a linter. */
+/* The Makefile sets the versioned names of the shared objects; these defaults
+ * are for compilation without it, such as by a linter. */
 #ifndef LIBRARY_ULFIUS_OBJECT
 #define LIBRARY_ULFIUS_OBJECT "libulfius.so"
 #endif
@@ -25,10 +21,9 @@
 struct library_curl library_curl;
 struct library_microhttpd library_microhttpd;
 
-/* One function: its name, and where its address goes. */
 struct function_row {
     const char *name;
-    size_t offset; /* of the field, in the table that is filled */
+    size_t offset; /* of the function pointer in `table` */
 };
 
 #define ULFIUS_ROW(field, function)                                           \
@@ -46,11 +41,10 @@
 static const struct function_row microhttpd_rows[] = {
     LIBRARY_MICROHTTPD_FUNCTIONS(MICROHTTPD_ROW)};
 
-/* One library. */
 struct library_row {
     enum library_set bit;
-    const char *object;  /* name of the shared object */
-    const char *package; /* that installs it */
+    const char *object;  /* file name of the shared object */
+    const char *package; /* Debian package with the object */
     void *table;         /* struct of function pointers */
     const struct function_row *functions;
     size_t count; /* of functions */
@@ -66,9 +60,8 @@
      &library_microhttpd, microhttpd_rows, COUNT_OF(microhttpd_rows)},
 };
 
-/* Says that a library cannot be used, and how to mend it. */
 static enum status_kind
-fail(const struct library_row *row, struct status *st)
+report_error(const struct library_row *row, struct status *st)
 {
     const char *reason = dlerror();
 
@@ -78,20 +71,19 @@
                       row->package);
 }
 
-/* Loads one library and fills its table. */
 static enum status_kind
-load(const struct library_row *row, struct status *st)
+load_one(const struct library_row *row, struct status *st)
 {
     void *handle = dlopen(row->object, RTLD_NOW | RTLD_LOCAL);
 
     if (handle == NULL) {
-        return fail(row, st);
+        return report_error(row, st);
     }
     for (size_t i = 0; i < row->count; i++) {
         void *function = dlsym(handle, row->functions[i].name);
 
         if (function == NULL) {
-            return fail(row, st);
+            return report_error(row, st);
         }
         memcpy((char *)row->table + row->functions[i].offset, &function,
                sizeof(function));
@@ -99,13 +91,12 @@
     return STATUS_OK;
 }
 
-/* Loads libraries. */
 enum status_kind
 library_load(unsigned set, struct status *st)
 {
     for (size_t i = 0; i < COUNT_OF(libraries); i++) {
         if ((set & libraries[i].bit) != 0 &&
-            load(&libraries[i], st) != STATUS_OK) {
+            load_one(&libraries[i], st) != STATUS_OK) {
             return st->kind;
         }
     }
--- a/library.h
+++ b/library.h
@@ -1,11 +1,8 @@
 /**
  * @file library.h
- * Libraries that not everything needs, or not at once. They are loaded by
- * name when a command starts or a node opens HTTP, and not with the program:
- * libulfius, libcurl and libmicrohttpd bring 40 others with them, whose
- * loading takes 8 of 10 ms of processor time, a fifth of a second on a VM with
- * 0.038 of a core that is to forward packets again. Knows nothing of what the
- * libraries are used for.
+ * Lazy loading of libulfius, libcurl and libmicrohttpd with dlopen(). These
+ * pull in about 40 further libraries, which would slow down the start of a
+ * process that does not need HTTP at once.
  */
 #ifndef RIDGERIDGE_LIBRARY_H
 #define RIDGERIDGE_LIBRARY_H
@@ -16,7 +13,7 @@
 
 #include "status.h"
 
-/** Functions used of libulfius: field, name in the library. */
+/** Functions of libulfius: field, symbol. */
 #define LIBRARY_ULFIUS_FUNCTIONS(X)                                           \
     X(init, ulfius_init_instance)                                             \
     X(clean, ulfius_clean_instance)                                           \
@@ -29,7 +26,7 @@
     X(map_get, u_map_get)                                                     \
     X(map_get_case, u_map_get_case)
 
-/** Functions used of libcurl: field, name in the library. */
+/** Functions of libcurl: field, symbol. */
 #define LIBRARY_CURL_FUNCTIONS(X)                                             \
     X(global_init, curl_global_init)                                          \
     X(init, curl_easy_init)                                                   \
@@ -40,7 +37,7 @@
     X(list_append, curl_slist_append)                                         \
     X(list_free, curl_slist_free_all)
 
-/** Functions used of libmicrohttpd: field, name in the library. */
+/** Functions of libmicrohttpd: field, symbol. */
 #define LIBRARY_MICROHTTPD_FUNCTIONS(X)                                       \
     X(start, MHD_start_daemon)                                                \
     X(stop, MHD_stop_daemon)                                                  \
@@ -58,24 +55,24 @@
 
 #define LIBRARY_FIELD(field, function) __typeof__(function) *field;
 
-/** libulfius: HTTP of the control and entry roles. */
+/** HTTP server of the control and entry roles. */
 struct library_ulfius {
     LIBRARY_ULFIUS_FUNCTIONS(LIBRARY_FIELD)
 };
 
-/** libcurl: HTTP towards upstreams, control VMs and nodes. */
+/** HTTP client for upstreams, control VMs and nodes. */
 struct library_curl {
     LIBRARY_CURL_FUNCTIONS(LIBRARY_FIELD)
 };
 
-/** libmicrohttpd: HTTP of nodes; of entries what libulfius lacks. */
+/** HTTP server of nodes; calls of entries that libulfius does not wrap. */
 struct library_microhttpd {
     LIBRARY_MICROHTTPD_FUNCTIONS(LIBRARY_FIELD)
 };
 
-/** Which libraries, as bits. */
+/** Bit set of libraries. */
 enum library_set {
-    LIBRARY_NONE = 0,      /**< what the program is linked with is enough */
+    LIBRARY_NONE = 0,      /**< loads nothing */
     LIBRARY_ULFIUS = 1,    /**< fills library_ulfius */
     LIBRARY_CURL = 2,      /**< fills library_curl */
     LIBRARY_MICROHTTPD = 4 /**< fills library_microhttpd */
@@ -86,9 +83,9 @@
 extern struct library_microhttpd library_microhttpd;
 
 /**
- * Loads libraries; before any other thread uses them.
+ * Loads libraries. Call it before any thread uses them.
  * @param set bits of enum library_set
- * @return STATUS_IO with the package to install when one cannot be loaded
+ * @return STATUS_IO if a library cannot be loaded; the text names the package
  */
 enum status_kind library_load(unsigned set, struct status *st);
 
--- a/node-packets.c
+++ b/node-packets.c
@@ -291,7 +291,7 @@
         counter_add(&node->counters, COUNTER_PACKETS_MALFORMED, 1);
         return;
     }
-    if (packet.first && node->after_stall && !fault_is(FAULT_NO_STALE)) {
+    if (packet.first && node->after_stall && !fault_is(FAULT_NO_STALE_DROP)) {
         counter_add(&node->counters, COUNTER_PACKETS_STALE, 1);
         return;
     }
--- a/node.c
+++ b/node.c
@@ -218,7 +218,7 @@
 static void
 save_inventory(struct node *node, uint64_t now)
 {
-    if (!node->voter.running || fault_is(FAULT_NO_KEPT) ||
+    if (!node->voter.running || fault_is(FAULT_NO_SAVED_INVENTORY) ||
         (node->saved_change_count == node->upstreams.change_count &&
          node->saved_members_digest == fleet_members_digest(&node->fleet)) ||
         now < node->save_at || !node->fleet.settled) {
--- a/random.c
+++ b/random.c
@@ -1,7 +1,6 @@
-/* The generator of random numbers of the cores. */
+/* splitmix64. */
 #include "random.h"
 
-/* Next number of the generator (splitmix64). */
 uint64_t
 random_next(uint64_t *state)
 {
--- a/random.h
+++ b/random.h
@@ -1,15 +1,15 @@
 /**
  * @file random.h
- * The generator of random numbers of the cores (splitmix64). Its state is the
- * caller's, drawn once by the shell, so that a core's run can be repeated.
- * Not for secrets.
+ * Pseudo-random numbers: splitmix64 (Steele et al., OOPSLA 2014). The caller
+ * owns the state, so runs with the same seed are reproducible. Not for
+ * secrets.
  */
 #ifndef RIDGERIDGE_RANDOM_H
 #define RIDGERIDGE_RANDOM_H
 
 #include <stdint.h>
 
-/** Next number; `state` moves on. */
+/** Next number; advances `state`. */
 uint64_t random_next(uint64_t *state);
 
 #endif
--- a/rpc.c
+++ b/rpc.c
@@ -1,4 +1,4 @@
-/* Delivery of messages by ONC RPC, on libtirpc. */
+/* ONC RPC client and server, on libtirpc. */
 #include "rpc.h"
 
 #include <arpa/inet.h>
@@ -16,25 +16,24 @@
 #include "loop.h"
 #include "seal.h"
 
-#define CONNECT_MS 500
-#define PAUSE_US 100000 /* after a failed connect */
+#define CONNECT_TIMEOUT_MS 500
+#define RETRY_PAUSE_US 100000 /* after a failed delivery */
 
-/* One message in a queue. */
-struct parcel {
-    GByteArray *sealed;
-    uint64_t deadline; /* dropped then */
+struct queued_message {
+    GByteArray *encrypted;
+    uint64_t deadline;
 };
 
-/* One destination and its worker. */
+/* One destination and its thread. */
 struct destination {
     uint32_t address;
     uint16_t port;
-    GAsyncQueue *queue; /* struct parcel */
+    GAsyncQueue *queue; /* struct queued_message */
     CLIENT *client;     /* NULL while not connected */
-    bool failing;       /* the last call failed, logged once */
+    bool failing;       /* the last call failed */
 };
 
-/* A message on its way to the loop's thread. */
+/* A received message, posted to the event loop. */
 struct delivery {
     wire_msg msg;
 };
@@ -47,7 +46,6 @@
     GHashTable *destinations;
 } rpc_state;
 
-/* Hands a message to the handler, on the loop's thread. */
 static void
 on_delivery(void *data)
 {
@@ -58,9 +56,8 @@
     g_free(delivery);
 }
 
-/* Opens and decodes an envelope; counts what is wrong with it. */
 static void
-take_envelope(const wire_envelope *envelope)
+receive_envelope(const wire_envelope *envelope)
 {
     GByteArray *plain =
         seal_decrypt(envelope->sealed.sealed_val, envelope->sealed.sealed_len);
@@ -84,7 +81,7 @@
     g_byte_array_unref(plain);
 }
 
-/* Serves one call. */
+/* Dispatch function of the RPC program. */
 static void
 serve(struct svc_req *request, SVCXPRT *transport)
 {
@@ -105,13 +102,12 @@
         svcerr_decode(transport);
         return;
     }
-    take_envelope(&envelope);
+    receive_envelope(&envelope);
     (void)svc_sendreply(transport, (xdrproc_t)xdr_void, NULL);
     (void)svc_freeargs(transport, (xdrproc_t)xdr_wire_envelope,
                        (caddr_t)&envelope);
 }
 
-/* Runs the server; never returns. */
 static gpointer
 run_server(gpointer unused)
 {
@@ -120,13 +116,12 @@
     return NULL;
 }
 
-/* Opens a listening socket. */
 static int
 listen_on(uint32_t address, uint16_t port)
 {
-    struct sockaddr_in at = {.sin_family = AF_INET,
-                             .sin_port = htons(port),
-                             .sin_addr.s_addr = htonl(address)};
+    struct sockaddr_in addr = {.sin_family = AF_INET,
+                               .sin_port = htons(port),
+                               .sin_addr.s_addr = htonl(address)};
     int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     int on = 1;
 
@@ -134,7 +129,7 @@
         return -1;
     }
     (void)setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
-    if (bind(fd, (struct sockaddr *)&at, sizeof(at)) != 0 ||
+    if (bind(fd, (struct sockaddr *)&addr, sizeof(addr)) != 0 ||
         listen(fd, SOMAXCONN) != 0) {
         (void)close(fd);
         return -1;
@@ -142,7 +137,6 @@
     return fd;
 }
 
-/* Listens and serves in a thread of its own. */
 enum status_kind
 rpc_listen(uint32_t address, uint16_t port, rpc_handler handler, void *data,
            struct counters *counters, struct status *st)
@@ -166,7 +160,7 @@
     return STATUS_OK;
 }
 
-/* Waits until a connect is done; false after CONNECT_MS. */
+/* Waits for a non-blocking connect, at most CONNECT_TIMEOUT_MS. */
 static bool
 wait_connected(int fd)
 {
@@ -174,25 +168,24 @@
     int error = 0;
     socklen_t size = sizeof(error);
 
-    return poll(&poll_fd, 1, CONNECT_MS) == 1 &&
+    return poll(&poll_fd, 1, CONNECT_TIMEOUT_MS) == 1 &&
            getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &size) == 0 &&
            error == 0;
 }
 
-/* Connects a socket, within CONNECT_MS; -1 when it fails. */
 static int
 connect_to(uint32_t address, uint16_t port)
 {
-    struct sockaddr_in at = {.sin_family = AF_INET,
-                             .sin_port = htons(port),
-                             .sin_addr.s_addr = htonl(address)};
+    struct sockaddr_in addr = {.sin_family = AF_INET,
+                               .sin_port = htons(port),
+                               .sin_addr.s_addr = htonl(address)};
     int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
     int on = 1;
 
     if (fd < 0) {
         return -1;
     }
-    if ((connect(fd, (struct sockaddr *)&at, sizeof(at)) != 0 &&
+    if ((connect(fd, (struct sockaddr *)&addr, sizeof(addr)) != 0 &&
          errno != EINPROGRESS) ||
         !wait_connected(fd) || fcntl(fd, F_SETFL, 0) != 0) {
         (void)close(fd);
@@ -202,15 +195,14 @@
     return fd;
 }
 
-/* Makes a client on a connected socket. */
 static CLIENT *
-make_client(const struct destination *d)
+connect_client(const struct destination *d)
 {
-    struct sockaddr_in at = {.sin_family = AF_INET,
-                             .sin_port = htons(d->port),
-                             .sin_addr.s_addr = htonl(d->address)};
+    struct sockaddr_in addr = {.sin_family = AF_INET,
+                               .sin_port = htons(d->port),
+                               .sin_addr.s_addr = htonl(d->address)};
     struct netbuf buffer = {
-        .maxlen = sizeof(at), .len = sizeof(at), .buf = &at};
+        .maxlen = sizeof(addr), .len = sizeof(addr), .buf = &addr};
     int fd = connect_to(d->address, d->port);
     CLIENT *client;
 
@@ -226,17 +218,18 @@
     return client;
 }
 
-/* Delivers one message, over a new connection when the old one is gone. */
+/* Reconnects first if there is no connection. */
 static bool
-deliver(struct destination *d, const GByteArray *sealed)
+deliver(struct destination *d, const GByteArray *encrypted)
 {
-    struct timeval timeout = {.tv_sec = RPC_CALL_MS / 1000,
-                              .tv_usec = RPC_CALL_MS % 1000 * 1000};
-    wire_envelope envelope = {.sealed = {.sealed_len = sealed->len,
-                                         .sealed_val = (char *)sealed->data}};
+    struct timeval timeout = {.tv_sec = RPC_TIMEOUT_MS / 1000,
+                              .tv_usec = RPC_TIMEOUT_MS % 1000 * 1000};
+    wire_envelope envelope = {
+        .sealed = {.sealed_len = encrypted->len,
+                   .sealed_val = (char *)encrypted->data}};
 
     if (d->client == NULL) {
-        d->client = make_client(d);
+        d->client = connect_client(d);
     }
     if (d->client == NULL) {
         return false;
@@ -251,9 +244,9 @@
     return true;
 }
 
-/* Logs when a destination begins or ceases to fail. */
+/* Logs when calls to a destination start or stop failing. */
 static void
-note_result(struct destination *d, bool ok)
+log_result(struct destination *d, bool ok)
 {
     char text[ADDRESS_TEXT];
 
@@ -265,32 +258,31 @@
               "destination=%s", address_format(d->address, d->port, text));
 }
 
-/* Works for one destination; never returns. */
 static gpointer
 run_worker(gpointer data)
 {
     struct destination *d = data;
 
     for (;;) {
-        struct parcel *parcel = g_async_queue_pop(d->queue);
+        struct queued_message *message = g_async_queue_pop(d->queue);
 
-        if (loop_now() < parcel->deadline) {
-            bool ok = deliver(d, parcel->sealed);
+        if (loop_now() < message->deadline) {
+            bool ok = deliver(d, message->encrypted);
 
-            /* A connection that the other side closed fails once. */
-            ok = ok || deliver(d, parcel->sealed);
-            note_result(d, ok);
+            /* A connection closed by the peer fails once; reconnect. */
+            ok = ok || deliver(d, message->encrypted);
+            log_result(d, ok);
             if (!ok) {
-                g_usleep(PAUSE_US);
+                g_usleep(RETRY_PAUSE_US);
             }
         }
-        g_byte_array_unref(parcel->sealed);
-        g_free(parcel);
+        g_byte_array_unref(message->encrypted);
+        g_free(message);
     }
     return NULL;
 }
 
-/* Finds a destination, and starts its worker when it is new. */
+/* Creates the destination and its thread if necessary. */
 static struct destination *
 find_destination(uint32_t address, uint16_t port)
 {
@@ -311,20 +303,19 @@
     return d;
 }
 
-/* Queues a message; drops it when the queue is full. */
 void
 rpc_send(uint32_t address, uint16_t port, const GByteArray *bytes)
 {
     struct destination *d = find_destination(address, port);
-    struct parcel *parcel;
+    struct queued_message *message;
 
     if (g_async_queue_length(d->queue) >= RPC_QUEUE_MAX) {
         return;
     }
-    parcel = g_new(struct parcel, 1);
-    parcel->sealed = seal_encrypt(bytes->data, bytes->len);
-    parcel->deadline = loop_now() + RPC_OLD_MS;
+    message = g_new(struct queued_message, 1);
+    message->encrypted = seal_encrypt(bytes->data, bytes->len);
+    message->deadline = loop_now() + RPC_QUEUE_TIMEOUT_MS;
     counter_add(rpc_state.counters, COUNTER_CONTROL_BYTES_OUT,
-                parcel->sealed->len);
-    g_async_queue_push(d->queue, parcel);
+                message->encrypted->len);
+    g_async_queue_push(d->queue, message);
 }
--- a/rpc.h
+++ b/rpc.h
@@ -1,9 +1,9 @@
 /**
  * @file rpc.h
- * Messages between control VMs, and between control and entries, over ONC
- * RPC on TCP (RFC 5531): one procedure that delivers one sealed message.
- * Each destination has a worker with a bounded queue and deadlines, so that
- * a dead one holds up nobody else.
+ * Messages between control VMs, and between control and entries, over ONC RPC
+ * (RFC 5531) on TCP: one procedure that delivers one encrypted message. Each
+ * destination has its own thread and bounded queue, so an unreachable one
+ * does not delay the others.
  */
 #ifndef RIDGERIDGE_RPC_H
 #define RIDGERIDGE_RPC_H
@@ -16,19 +16,22 @@
 #include "generated/wire.h"
 #include "status.h"
 
-#define RPC_QUEUE_MAX 256 /**< messages waiting for one destination */
-#define RPC_CALL_MS 2000U /**< longest call */
-#define RPC_OLD_MS 1000U  /**< messages that waited longer are dropped */
+#define RPC_QUEUE_MAX 256          /**< queued messages per destination */
+#define RPC_TIMEOUT_MS 2000U       /**< of one call */
+#define RPC_QUEUE_TIMEOUT_MS 1000U /**< then a queued message is dropped */
 
-/** Takes a message, on the loop's thread; it is freed afterwards. */
+/** Runs on the event loop's thread; `msg` is freed afterwards. */
 typedef void (*rpc_handler)(void *data, const wire_msg *msg);
 
-/** Listens on an address; messages go to `handler`. */
+/**
+ * Listens and passes received messages to `handler`.
+ * @return STATUS_IO if the port cannot be opened
+ */
 enum status_kind rpc_listen(uint32_t address, uint16_t port,
                             rpc_handler handler, void *data,
                             struct counters *counters, struct status *st);
 
-/** Queues an encoded message for a destination. */
+/** Encrypts and queues an encoded message; drops it if the queue is full. */
 void rpc_send(uint32_t address, uint16_t port, const GByteArray *bytes);
 
 #endif
--- a/table.c
+++ b/table.c
@@ -1,4 +1,4 @@
-/* Fills consistent-hash tables. No state of its own. */
+/* Maglev table population with weights. */
 #include "table.h"
 
 #include <glib.h>
@@ -7,15 +7,14 @@
 
 #define TABLE_BUCKETS_PER_UPSTREAM 100
 
-/* Where one candidate stands in its order of preferred buckets. */
-struct turn {
-    uint32_t offset; /* first preferred bucket */
-    uint32_t skip;   /* step to the next one */
-    uint32_t next;   /* how many were tried */
-    uint64_t credit; /* weight gathered towards the next turn */
+/* A candidate's permutation of the buckets, as in Maglev. */
+struct permutation {
+    uint32_t offset; /* first bucket */
+    uint32_t skip;   /* distance to the next bucket */
+    uint32_t next;   /* number of buckets tried */
+    uint64_t credit; /* weight accumulated for the next bucket */
 };
 
-/* Picks the number of buckets. */
 uint32_t
 table_size(size_t upstreams)
 {
@@ -29,22 +28,22 @@
     return primes[i];
 }
 
-/* Takes the candidate's most preferred bucket that is still free. */
+/* Takes the first free bucket of the candidate's permutation. */
 static void
-take_bucket(struct turn *turn, uint16_t index, uint32_t size, uint16_t *out)
+take_bucket(struct permutation *permutation, uint16_t index, uint32_t size,
+            uint16_t *out)
 {
     uint32_t bucket;
 
     do {
-        bucket =
-            (uint32_t)((turn->offset + (uint64_t)turn->next * turn->skip) %
-                       size);
-        turn->next++;
+        bucket = (uint32_t)((permutation->offset +
+                             (uint64_t)permutation->next * permutation->skip) %
+                            size);
+        permutation->next++;
     } while (out[bucket] != TABLE_NONE);
     out[bucket] = index;
 }
 
-/* Finds the greatest weight. */
 static uint64_t
 max_weight(const struct table_candidate *candidates, size_t count)
 {
@@ -56,13 +55,14 @@
     return max;
 }
 
-/* Gives each candidate turns by weight until no bucket is free. */
+/* A candidate takes a bucket once its credit reaches the maximum weight. */
 void
 table_fill(const struct table_candidate *candidates, size_t count,
            uint32_t size, uint16_t *out)
 {
     uint64_t max = max_weight(candidates, count);
-    struct turn *turns = g_new0(struct turn, count ? count : 1);
+    struct permutation *permutations =
+        g_new0(struct permutation, count ? count : 1);
     uint32_t filled = 0;
 
     g_assert(size > 1);
@@ -72,19 +72,19 @@
     for (size_t i = 0; i < count; i++) {
         uint64_t hash = hash_pair(HASH_UPSTREAM, candidates[i].key, size);
 
-        turns[i].offset = (uint32_t)(hash % size);
-        turns[i].skip = (uint32_t)((hash >> 32) % (size - 1)) + 1;
+        permutations[i].offset = (uint32_t)(hash % size);
+        permutations[i].skip = (uint32_t)((hash >> 32) % (size - 1)) + 1;
     }
     while (max > 0 && filled < size) {
         for (size_t i = 0; i < count && filled < size; i++) {
-            turns[i].credit += candidates[i].weight;
-            if (turns[i].credit < max) {
+            permutations[i].credit += candidates[i].weight;
+            if (permutations[i].credit < max) {
                 continue;
             }
-            turns[i].credit -= max;
-            take_bucket(&turns[i], (uint16_t)i, size, out);
+            permutations[i].credit -= max;
+            take_bucket(&permutations[i], (uint16_t)i, size, out);
             filled++;
         }
     }
-    g_free(turns);
+    g_free(permutations);
 }
--- a/tests/sim.c
+++ b/tests/sim.c
@@ -203,7 +203,7 @@
 act_cons(struct sim *sim, int index, struct cons_action *action)
 {
     struct sim_node *node = &sim->nodes[index];
-    bool unsaved = fault_is(FAULT_ACK_UNSAVED);
+    bool unsaved = fault_is(FAULT_ACK_UNSYNCED);
 
     switch (action->kind) {
     case CONS_SAVE_TERM:
@@ -541,7 +541,7 @@
         sim->options.hooks.forwarded(sim->options.hooks.data, node, tag,
                                      &question, u->address, u->port);
         break;
-    case FLOW_HAND:
+    case FLOW_FORWARD_TO_ENTRY:
         hand_packet(sim, node, &verdict, &question, tag);
         break;
     case FLOW_DROP:
--- a/tests/steer-policies.c
+++ b/tests/steer-policies.c
@@ -79,7 +79,7 @@
     model = m;
     fault_work =
         m->way == STEER_TODAY || m->way == STEER_NO_PLACE ? NULL : trial_work;
-    fault_trials[FAULT_NO_PLACE] |= m->way == STEER_NO_PLACE;
+    fault_trials[FAULT_NO_RANK] |= m->way == STEER_NO_PLACE;
 }
 
 /* Lets them choose as the program does. */
@@ -88,7 +88,7 @@
 {
     fault_work = NULL;
     if (m->way == STEER_NO_PLACE) {
-        fault_trials[FAULT_NO_PLACE] = false;
+        fault_trials[FAULT_NO_RANK] = false;
     }
     model = NULL;
 }
--- a/tests/test-choose.c
+++ b/tests/test-choose.c
@@ -272,9 +272,9 @@
 /* What is left out, and a test above that must fail then. */
 static const struct mutation mutations[] = {
     {"least-work", FAULT_NO_LEAST_WORK, "/choose/open"},
-    {"place", FAULT_NO_PLACE, "/choose/spread/together"},
-    {"cold", FAULT_NO_COLD, "/choose/cold"},
-    {"took", FAULT_NO_TOOK, "/choose/took/slow"},
+    {"place", FAULT_NO_RANK, "/choose/spread/together"},
+    {"cold", FAULT_NO_WARMUP_WEIGHT, "/choose/cold"},
+    {"took", FAULT_NO_LATENCY, "/choose/took/slow"},
     {"silent-last", FAULT_SILENT_EQUAL, "/choose/silent"},
 };
 
--- a/tests/test-control.c
+++ b/tests/test-control.c
@@ -363,7 +363,7 @@
         }
     }
     if (sim_random(sim, 1000) < w->wipe && node < sim->options.controls &&
-        (fault_is(FAULT_COUNT_WIPED) || may_wipe(sim))) {
+        (fault_is(FAULT_COUNT_ANY_IDENTITY) || may_wipe(sim))) {
         sim_wipe(sim, node);
     }
     if (sim_random(sim, 1000) < w->operate) {
@@ -540,11 +540,11 @@
 
 static const struct mutation mutations[] = {
     {"count-a-wiped-replica",
-     FAULT_COUNT_WIPED,
+     FAULT_COUNT_ANY_IDENTITY,
      {25, 0, 10, 0, 40, 100, 0, 0},
      0},
     {"vote-for-a-shorter-log",
-     FAULT_VOTE_BEHIND,
+     FAULT_VOTE_STALE_LOG,
      {25, 10, 10, 0, 0, 100, 0, 0},
      0},
     {"vote-twice-in-a-term",
@@ -552,7 +552,7 @@
      {25, 10, 10, 10, 0, 100, 0, 0},
      400},
     {"acknowledge-unsynced",
-     FAULT_ACK_UNSAVED,
+     FAULT_ACK_UNSYNCED,
      {60, 0, 5, 0, 0, 100, 0, 0},
      0},
     {"renew-a-lease-without-a-quorum",
--- a/tests/test-evidence.c
+++ b/tests/test-evidence.c
@@ -470,13 +470,13 @@
 
 /* What is left out, and a test above that must fail then. */
 static const struct mutation mutations[] = {
-    {"last-resort", FAULT_NO_LAST_RESORT, "/evidence/steer/first-all-silent"},
+    {"last-resort", FAULT_NO_FALLBACK, "/evidence/steer/first-all-silent"},
     {"suspicion", FAULT_NO_SUSPICION, "/evidence/copy/first-copy"},
-    {"move", FAULT_NO_MOVE, "/evidence/copy/first-copy"},
-    {"doubt", FAULT_NO_DOUBT, "/evidence/doubt/proved"},
-    {"waits", FAULT_NO_WAITS, "/evidence/doubt/waits-here"},
-    {"order", FAULT_NO_ORDER, "/evidence/doubt/hole-behind-it"},
-    {"lost", FAULT_NO_LOST, "/evidence/lost/proved-twice"},
+    {"move", FAULT_NO_REROUTE, "/evidence/copy/first-copy"},
+    {"doubt", FAULT_NO_SUSPICION_REPORT, "/evidence/doubt/proved"},
+    {"waits", FAULT_COUNT_QUEUED_AS_SENT, "/evidence/doubt/waits-here"},
+    {"order", FAULT_IGNORE_GAPS, "/evidence/doubt/hole-behind-it"},
+    {"lost", FAULT_KEEP_LOST_FLOWS, "/evidence/lost/proved-twice"},
 };
 
 /* A decision about a flow, and what recomputing it shows. */
--- a/tests/test-fleet.c
+++ b/tests/test-fleet.c
@@ -318,7 +318,7 @@
      FAULT_LEASE_NO_QUORUM,
      {"", 11, 3, 5, 3, "pcpgggggghpcpgggggg"}},
     {"vote-for-a-shorter-log",
-     FAULT_VOTE_BEHIND,
+     FAULT_VOTE_STALE_LOG,
      {"", 11, 3, 5, 3, "pc...pkh...gs....c...pkh...gs....c...pkh...g"}},
     {"halls-in-memory-alone",
      FAULT_HALLS_UNLOGGED,
--- a/tests/test-founding.c
+++ b/tests/test-founding.c
@@ -95,7 +95,7 @@
 
 /* What is left out, and the test that fails by it. */
 static const struct mutation mutations[] = {
-    {"founded-again", FAULT_FOUND_AGAIN, "/founding/cut-and-wiped"},
+    {"founded-again", FAULT_BOOTSTRAP_AGAIN, "/founding/cut-and-wiped"},
 };
 
 /* Lists the tests. */
--- a/tests/test-hall.c
+++ b/tests/test-hall.c
@@ -444,7 +444,7 @@
 
 /* What is left out, and a test above that must fail then. */
 static const struct mutation mutations[] = {
-    {"ordered", FAULT_HALLS_UNORDERED,
+    {"ordered", FAULT_HALLS_UNVERSIONED,
      "/hall/take/withdrawal-overtaken-by-its-order"},
     {"logged", FAULT_HALLS_UNLOGGED, "/hall/snapshot"},
     {"kept-away", FAULT_HALLS_IGNORED, "/hall/flow/first-hall"},
--- a/tests/test-link.c
+++ b/tests/test-link.c
@@ -423,9 +423,9 @@
 
 /* What is left out, and a test above that must fail then. */
 static const struct mutation mutations[] = {
-    {"egress", FAULT_NO_EGRESS, "/link/one-upload"},
-    {"turns", FAULT_NO_TURNS, "/link/four-uploads"},
-    {"copies", FAULT_NO_COPIES, "/link/eight-uploads"},
+    {"egress", FAULT_NO_EGRESS_QUEUE, "/link/one-upload"},
+    {"turns", FAULT_NO_FAIR_QUEUEING, "/link/four-uploads"},
+    {"copies", FAULT_NO_DUPLICATE_DROP, "/link/eight-uploads"},
 };
 
 /* Lists the tests. */
--- a/tests/test-reach.c
+++ b/tests/test-reach.c
@@ -224,7 +224,7 @@
 
 /* What is left out, and a test above that must fail then. */
 static const struct mutation mutations[] = {
-    {"reach", FAULT_NO_REACH, "/reach/packets"},
+    {"reach", FAULT_NO_HALL_SUSPICION, "/reach/packets"},
 };
 
 /* Lists the tests. */
--- a/tests/test-sick.c
+++ b/tests/test-sick.c
@@ -208,8 +208,8 @@
 
 /* What is left out, and a test above that must fail then. */
 static const struct mutation mutations[] = {
-    {"said", FAULT_NO_SICK, "/sick/answer/an-error"},
-    {"concluded", FAULT_NO_SICK, "/sick/word/three"},
+    {"said", FAULT_NO_OUTLIERS, "/sick/answer/an-error"},
+    {"concluded", FAULT_NO_OUTLIERS, "/sick/word/three"},
 };
 
 /* Lists the tests. */
--- a/tests/test-size.c
+++ b/tests/test-size.c
@@ -274,7 +274,7 @@
 
 /* What is left out, and the test that fails by it. */
 static const struct mutation mutations[] = {
-    {"no-comparisons", FAULT_NO_COMPARE, "/size/disks-lack"},
+    {"no-comparisons", FAULT_NO_ANTI_ENTROPY, "/size/disks-lack"},
     {"no-resolve", FAULT_NO_RESOLVE, "/size/open-flows"},
 };
 
--- a/tests/test-spread.c
+++ b/tests/test-spread.c
@@ -419,9 +419,9 @@
 /* What is left out, and the test that fails by it. */
 static const struct mutation mutations[] = {
     {"no-relay", FAULT_NO_RELAY, "/spread/once-a-hall"},
-    {"no-again", FAULT_NO_AGAIN, "/spread/leaving/taken-and-killed"},
-    {"no-lasting", FAULT_NO_LASTING, "/spread/on-their-way"},
-    {"no-question", FAULT_NO_QUESTION, "/spread/moves/often"},
+    {"no-again", FAULT_NO_RELAY_RETRY, "/spread/leaving/taken-and-killed"},
+    {"no-lasting", FAULT_COMPARE_IN_FLIGHT, "/spread/on-their-way"},
+    {"no-question", FAULT_NO_QUERY, "/spread/moves/often"},
 };
 
 /* An order about a hall, in a fleet where links lose a twentieth and a tenth
--- a/tests/test-steer.c
+++ b/tests/test-steer.c
@@ -26,10 +26,10 @@
 };
 
 static const struct worth_case worths[] = {
-    {"doubt", FAULT_NO_DOUBT, {LOAD, DYING}, 4, 0, 0},
-    {"lost", FAULT_NO_LOST, {LOAD, DYING}, 4, 0, 0},
-    {"silence", FAULT_NO_SILENCE, {LOAD, DYING}, 4, 0, 0},
-    {"took", FAULT_NO_TOOK, {LOAD, SLOWING}, 0, 1.2, 0},
+    {"doubt", FAULT_NO_SUSPICION_REPORT, {LOAD, DYING}, 4, 0, 0},
+    {"lost", FAULT_KEEP_LOST_FLOWS, {LOAD, DYING}, 4, 0, 0},
+    {"silence", FAULT_NO_REGISTRATION_TIMEOUT, {LOAD, DYING}, 4, 0, 0},
+    {"took", FAULT_NO_LATENCY, {LOAD, SLOWING}, 0, 1.2, 0},
     {"least-work", FAULT_NO_LEAST_WORK, {LOAD}, 0, 0, 1.2},
 };
 
--- a/tests/test-table.c
+++ b/tests/test-table.c
@@ -531,7 +531,7 @@
 
 /* What is left out, and the test that fails by it. */
 static const struct mutation mutations[] = {
-    {"copies-take-all-of-a-link", FAULT_NO_PACE,
+    {"copies-take-all-of-a-link", FAULT_NO_TRANSFER_PACING,
      "/table/changes/three-in-300-nodes"},
 };
 
--- a/tests/test-upstream.c
+++ b/tests/test-upstream.c
@@ -600,14 +600,15 @@
 
 /* What is left out, and a test above that must fail then. */
 static const struct mutation mutations[] = {
-    {"silence", FAULT_NO_SILENCE, "/upstream/excuse"},
-    {"excuse", FAULT_NO_EXCUSE, "/upstream/excuse"},
-    {"second-sign", FAULT_NO_SECOND_SIGN,
+    {"silence", FAULT_NO_REGISTRATION_TIMEOUT, "/upstream/excuse"},
+    {"excuse", FAULT_NO_STALL_EXTENSION, "/upstream/excuse"},
+    {"second-sign", FAULT_NO_LOST_STATE,
      "/upstream/doubt/three-and-no-registration"},
     {"replace", FAULT_NO_REPLACE, "/upstream/address/late-word-of-the-old"},
-    {"born", FAULT_NO_BORN, "/upstream/start/counts-begin-anew"},
-    {"born-late", FAULT_NO_BORN, "/upstream/start/late-word-of-the-old-start"},
-    {"born-end", FAULT_NO_BORN,
+    {"born", FAULT_NO_START_TIME, "/upstream/start/counts-begin-anew"},
+    {"born-late", FAULT_NO_START_TIME,
+     "/upstream/start/late-word-of-the-old-start"},
+    {"born-end", FAULT_NO_START_TIME,
      "/upstream/end/not-stated-and-it-has-just-begun"},
 };
 
--- a/tests/test-warmup.c
+++ b/tests/test-warmup.c
@@ -318,7 +318,7 @@
 /* What is left out, and a test above that must fail then. */
 static const struct mutation mutations[] = {
     {"bound", FAULT_NO_WARMUP, "/warmup/bound/all"},
-    {"counted-a-node", FAULT_ALL_OWN, "/warmup/bound/all"},
+    {"counted-a-node", FAULT_ALL_WARMUP_OWNERS, "/warmup/bound/all"},
 };
 
 /* Lists the tests. */
--- a/tools/bench-steer.c
+++ b/tools/bench-steer.c
@@ -96,15 +96,15 @@
     enum fault fault;
 } mechanisms[] = {
     {"least-work", FAULT_NO_LEAST_WORK},
-    {"place", FAULT_NO_PLACE},
-    {"cold", FAULT_NO_COLD},
-    {"took", FAULT_NO_TOOK},
+    {"place", FAULT_NO_RANK},
+    {"cold", FAULT_NO_WARMUP_WEIGHT},
+    {"took", FAULT_NO_LATENCY},
     {"suspicion", FAULT_NO_SUSPICION},
-    {"move", FAULT_NO_MOVE},
-    {"silence", FAULT_NO_SILENCE},
+    {"move", FAULT_NO_REROUTE},
+    {"silence", FAULT_NO_REGISTRATION_TIMEOUT},
     {"silent-last", FAULT_SILENT_EQUAL},
-    {"doubt", FAULT_NO_DOUBT},
-    {"lost", FAULT_NO_LOST},
+    {"doubt", FAULT_NO_SUSPICION_REPORT},
+    {"lost", FAULT_KEEP_LOST_FLOWS},
 };
 
 /* Disables a mechanism of fault.h; FALSE with a message if the name is
--- a/upstream-watch.c
+++ b/upstream-watch.c
@@ -71,7 +71,8 @@
 upstream_mark_silent(struct upstream_set *set, uint64_t now,
                      struct upstream *upstream, bool broadcast)
 {
-    if (upstream->state == UPSTREAM_READY && !fault_is(FAULT_NO_SILENCE)) {
+    if (upstream->state == UPSTREAM_READY &&
+        !fault_is(FAULT_NO_REGISTRATION_TIMEOUT)) {
         set_state(set, now, upstream, UPSTREAM_SILENT, broadcast);
     }
 }
@@ -177,7 +178,7 @@
     uint32_t doublings;
 
     if (upstream == NULL || upstream->state != UPSTREAM_READY ||
-        upstream->keeper != set->self || fault_is(FAULT_NO_SICK) ||
+        upstream->keeper != set->self || fault_is(FAULT_NO_OUTLIERS) ||
         !add_outlier_report(&upstream->outlier_reports, now, node) ||
         now + EJECTION_RENEW_MS < upstream->ejected_until) {
         return;
@@ -210,7 +211,7 @@
 query_others(struct upstream_set *set, uint64_t now, struct upstream *upstream)
 {
     if (upstream->queried || upstream->last_registered_at != 0 ||
-        upstream->suspicions.decide_at != 0 || fault_is(FAULT_NO_QUESTION)) {
+        upstream->suspicions.decide_at != 0 || fault_is(FAULT_NO_QUERY)) {
         return false;
     }
     upstream->queried = true;
@@ -248,7 +249,7 @@
     }
     if (upstream->state == UPSTREAM_SILENT && upstream->expired &&
         suspicions->confirmed && now > suspicions->refuted_at + REFUTED_MS &&
-        !fault_is(FAULT_NO_SECOND_SIGN)) {
+        !fault_is(FAULT_NO_LOST_STATE)) {
         set_state(set, now, upstream, UPSTREAM_LOST, true);
     }
 }
@@ -289,7 +290,7 @@
 void
 upstream_extend_deadlines(struct upstream_set *set, uint64_t now, uint64_t gap)
 {
-    if (fault_is(FAULT_NO_EXCUSE)) {
+    if (fault_is(FAULT_NO_STALL_EXTENSION)) {
         return;
     }
     for (guint i = 0; i < set->all->len; i++) {
--- a/upstream.c
+++ b/upstream.c
@@ -163,7 +163,7 @@
 is_newer(const struct upstream *upstream, uint64_t started_at,
          enum upstream_state state, uint64_t sequence)
 {
-    if (started_at != upstream->started_at && !fault_is(FAULT_NO_BORN)) {
+    if (started_at != upstream->started_at && !fault_is(FAULT_NO_START_TIME)) {
         if (started_at == 0) {
             return leaves_without_start(upstream, state, sequence);
         }
@@ -338,7 +338,8 @@
 may_be_earlier_start(const struct upstream *upstream)
 {
     return upstream->started_at != 0 && upstream->state == UPSTREAM_READY &&
-           upstream->sequence <= FRESH_SEQUENCE && !fault_is(FAULT_NO_BORN);
+           upstream->sequence <= FRESH_SEQUENCE &&
+           !fault_is(FAULT_NO_START_TIME);
 }
 
 bool
