--- a/tests/cases.h
+++ b/tests/cases.h
@@ -1,6 +1,6 @@
 /**
  * @file cases.h
- * How a table of cases becomes tests.
+ * Parameterized tests: one GLib test for each row of a table.
  */
 #ifndef RIDGERIDGE_CASES_H
 #define RIDGERIDGE_CASES_H
@@ -8,7 +8,8 @@
 #include <glib.h>
 #include <stdio.h>
 
-/** Adds a test for each row, named by its `name`; needs `char path[]`. */
+/** Adds a test named prefix + row.name for each row. The caller declares
+ * `char path[]`. */
 #define CASES_ADD(prefix, cases, function)                                    \
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {                        \
         (void)snprintf(path, sizeof(path), prefix "%s", (cases)[i].name);     \
--- a/tests/fault.c
+++ b/tests/fault.c
@@ -1,4 +1,4 @@
-/* Which safeguards a test leaves out. */
+/* Safeguards that the current test disables. */
 #include "fault.h"
 
 bool fault_trials[FAULT_COUNT];
--- a/tests/fixture.c
+++ b/tests/fixture.c
@@ -1,9 +1,8 @@
-/* One entry that steers by evidence. */
+/* Test fixture: one entry that steers by evidence. */
 #include "fixture.h"
 
 #include <string.h>
 
-/* Registers an upstream. */
 void
 fixture_register(struct fixture *f, uint64_t now, uint64_t id,
                  uint64_t sequence, bool leaving)
@@ -20,7 +19,6 @@
     upstream_register(&f->upstreams, now, &r);
 }
 
-/* A table of one version with one route to "feed". */
 struct route_table *
 fixture_table(uint64_t version, uint16_t port)
 {
@@ -38,7 +36,6 @@
     return table;
 }
 
-/* Makes an entry. */
 void
 fixture_open(struct fixture *f, unsigned upstreams)
 {
@@ -52,7 +49,6 @@
     g_assert_true(evidence_apply(&f->ev, fixture_table(1, ROUTE_PORT)));
 }
 
-/* Frees it. */
 void
 fixture_close(struct fixture *f)
 {
@@ -60,7 +56,6 @@
     upstream_close(&f->upstreams);
 }
 
-/* A packet of caller N. */
 struct evidence_packet
 fixture_packet(uint16_t caller, bool first, uint32_t token,
                uint32_t acknowledged)
--- a/tests/fixture.h
+++ b/tests/fixture.h
@@ -1,7 +1,7 @@
 /**
  * @file fixture.h
- * One entry that steers by evidence, for tests: a table with one route, and
- * upstreams 1, 2, ... of its service.
+ * Test fixture: one entry that steers by evidence, with a table of one route
+ * and upstreams 1, 2, ... of its service.
  */
 #ifndef RIDGERIDGE_FIXTURE_H
 #define RIDGERIDGE_FIXTURE_H
@@ -15,27 +15,25 @@
 #define ROUTE_PORT 443
 #define SELF 0x0a010010U /* address of the entry */
 
-/** The entry. */
 struct fixture {
     struct counters counters;
     struct upstream_set upstreams;
     struct evidence ev;
 };
 
-/** Makes an entry with a table and so many upstreams. */
+/** Opens an entry with upstreams 1 to `upstreams`, all ready. */
 void fixture_open(struct fixture *f, unsigned upstreams);
 
-/** Frees it. */
 void fixture_close(struct fixture *f);
 
-/** Registers an upstream. */
+/** Registers an upstream, with an address made of its id. */
 void fixture_register(struct fixture *f, uint64_t now, uint64_t id,
                       uint64_t sequence, bool leaving);
 
-/** A table of one version with one route to the service. */
+/** Returns a table with one route to the service "feed". */
 struct route_table *fixture_table(uint64_t version, uint16_t port);
 
-/** A packet of caller N. */
+/** Returns a packet from source port `caller` to the route. */
 struct evidence_packet fixture_packet(uint16_t caller, bool first,
                                       uint32_t token, uint32_t acknowledged);
 
--- a/tests/flow-evidence.c
+++ b/tests/flow-evidence.c
@@ -1,4 +1,4 @@
-/* Steering by evidence under bundles. */
+/* Steering by evidence in the flow load, with upstreams from bundles. */
 #include "flow-evidence.h"
 
 #include "evidence.h"
@@ -7,18 +7,17 @@
 #define ROUTE_ADDRESS 0xc6120001U
 #define ROUTE_PORT 443
 #define CALLER_PORT 1024
-#define IDLE_MS 15000      /* rest after which a flow is forgotten, as there */
-#define GOLDEN 0x9e3779b9U /* of 2^32: spreads the entries' places evenly */
-#define INTERVAL_MS 1000   /* of registrations; nothing expires here */
+#define IDLE_MS 15000
+#define GOLDEN 0x9e3779b9U /* 2^32 over the golden ratio: spreads ranks */
+#define INTERVAL_MS 1000   /* between registrations; none expires */
 
 struct flow_evidence {
     struct counters counters;
     struct upstream_set upstreams;
     struct evidence evidence;
-    uint64_t version; /* of the bundle that the inventory follows */
+    uint64_t version; /* of the bundle in the inventory */
 };
 
-/* Starts without upstreams. */
 struct flow_evidence *
 flow_evidence_new(uint32_t number)
 {
@@ -32,7 +31,6 @@
     return entry;
 }
 
-/* Frees it. */
 void
 flow_evidence_free(struct flow_evidence *entry)
 {
@@ -44,8 +42,8 @@
     g_free(entry);
 }
 
-/* Registers the upstreams of a service, each as one incarnation named by its
- * address; those without a weight take no new flows. */
+/* Registers the upstreams of a service with their addresses as ids. Those of
+ * weight 0 are leaving. */
 static void
 register_all(struct flow_evidence *entry, uint64_t now,
              const struct bundle_service *service, uint64_t version)
@@ -66,7 +64,7 @@
     }
 }
 
-/* A table with the one route of the load. */
+/* Returns a table with one route to SERVICE. */
 static struct route_table *
 make_table(uint64_t version)
 {
@@ -84,9 +82,9 @@
     return table;
 }
 
-/* Follows the bundle that the entry core holds. */
+/* Registers the upstreams of the entry core's bundle when it is newer. */
 static void
-follow(struct flow_evidence *entry, uint64_t now,
+update(struct flow_evidence *entry, uint64_t now,
        const struct entry_core *core)
 {
     const struct bundle_service *service =
@@ -100,7 +98,6 @@
     (void)evidence_apply(&entry->evidence, make_table(entry->version));
 }
 
-/* Steers a packet. */
 uint32_t
 flow_evidence_steer(struct flow_evidence *entry, uint64_t now,
                     const struct entry_core *core, uint32_t caller, bool first,
@@ -114,7 +111,7 @@
                                      .first = first};
     struct evidence_verdict verdict;
 
-    follow(entry, now, core);
+    update(entry, now, core);
     evidence_tick(&entry->evidence, now);
     evidence_steer(&entry->evidence, now, &packet, &verdict);
     if (verdict.action != EVIDENCE_FORWARD) {
--- a/tests/flow-evidence.h
+++ b/tests/flow-evidence.h
@@ -1,25 +1,25 @@
 /**
  * @file flow-evidence.h
- * Steering by evidence, the real code, for the entries of a flow load: each
- * entry has an inventory of its own, filled from the bundle that it holds.
+ * Steering by evidence in the simulated entries of flow-load.c. Each entry has
+ * its own inventory, filled from its bundle.
  */
 #ifndef RIDGERIDGE_FLOW_EVIDENCE_H
 #define RIDGERIDGE_FLOW_EVIDENCE_H
 
 #include "entry-core.h"
 
-/* One entry's steering. */
+/* Steering state of one entry. */
 struct flow_evidence;
 
-/* Starts without upstreams; `number` tells entries apart. */
+/* Creates an inventory without upstreams; `number` identifies the entry. */
 struct flow_evidence *flow_evidence_new(uint32_t number);
-/* Frees it; NULL is allowed. */
+/* NULL is allowed. */
 void flow_evidence_free(struct flow_evidence *entry);
 
 /**
- * Steers a packet under the bundle that an entry core holds.
- * @param token what the packet names; receives what both ends repeat from now
- * @return address of the upstream, 0 when the packet goes nowhere
+ * Steers a packet with the upstreams of an entry core's bundle.
+ * @param token of the packet; set to that of the chosen upstream
+ * @return address of the upstream, 0 when the packet is not forwarded
  */
 uint32_t flow_evidence_steer(struct flow_evidence *entry, uint64_t now,
                              const struct entry_core *core, uint32_t caller,
--- a/tests/median.c
+++ b/tests/median.c
@@ -1,11 +1,10 @@
-/* Medians. */
+/* Medians of samples. */
 #include "median.h"
 
 #include <stdlib.h>
 
-/* Orders numbers. */
 static int
-compare(const void *a, const void *b)
+compare_doubles(const void *a, const void *b)
 {
     double x = *(const double *)a;
     double y = *(const double *)b;
@@ -13,14 +12,12 @@
     return (x > y) - (x < y);
 }
 
-/* Sorts numbers. */
 void
 median_sort(double *values, size_t count)
 {
-    qsort(values, count, sizeof(*values), compare);
+    qsort(values, count, sizeof(*values), compare_doubles);
 }
 
-/* Sorts numbers and takes the middle one. */
 double
 median_of(double *values, size_t count)
 {
--- a/tests/median.h
+++ b/tests/median.h
@@ -1,16 +1,16 @@
 /**
  * @file median.h
- * Medians, for loads and measurements.
+ * Medians of samples, for simulated loads and benchmarks.
  */
 #ifndef RIDGERIDGE_MEDIAN_H
 #define RIDGERIDGE_MEDIAN_H
 
 #include <stddef.h>
 
-/** Sorts numbers, least first. */
+/** Sorts in ascending order. */
 void median_sort(double *values, size_t count);
 
-/** The median of at least one number; sorts them. */
+/** Sorts the values and returns their median; count > 0. */
 double median_of(double *values, size_t count);
 
 #endif
--- a/tests/mutation.c
+++ b/tests/mutation.c
@@ -1,23 +1,21 @@
-/* Tests that must fail when a mechanism is left out. */
+/* Mutation tests: a test must fail while a safeguard is disabled. */
 #include "mutation.h"
 
 #include <glib.h>
 
-/* Names what is left out to the process that runs the test. */
-#define LEFT_OUT "RIDGERIDGE_TEST_LEFT_OUT"
+/* Environment variable: number of the fault for the child process. */
+#define FAULT_VARIABLE "RIDGERIDGE_TEST_LEFT_OUT"
 
-/* Leaves out what the process was started without. */
 void
-mutation_begin(void)
+mutation_init(void)
 {
-    const char *left_out = g_getenv(LEFT_OUT);
+    const char *fault = g_getenv(FAULT_VARIABLE);
 
-    if (left_out != NULL) {
-        fault_trials[g_ascii_strtoull(left_out, NULL, 10)] = true;
+    if (fault != NULL) {
+        fault_trials[g_ascii_strtoull(fault, NULL, 10)] = true;
     }
 }
 
-/* Runs a test with and without its mechanism. */
 void
 mutation_test(const void *data)
 {
@@ -26,9 +24,9 @@
 
     g_test_trap_subprocess(m->test, 0, G_TEST_SUBPROCESS_DEFAULT);
     g_test_trap_assert_passed();
-    g_assert_true(g_setenv(LEFT_OUT, number, TRUE));
+    g_assert_true(g_setenv(FAULT_VARIABLE, number, TRUE));
     g_test_trap_subprocess(m->test, 0, G_TEST_SUBPROCESS_DEFAULT);
-    g_unsetenv(LEFT_OUT);
+    g_unsetenv(FAULT_VARIABLE);
     g_test_trap_assert_failed();
     g_free(number);
 }
--- a/tests/mutation.h
+++ b/tests/mutation.h
@@ -1,24 +1,24 @@
 /**
  * @file mutation.h
- * Tests that must fail when a mechanism is left out: each runs in a process of
- * its own, with and without it.
+ * Mutation tests: each test runs in a child process and must pass, then fail
+ * while one safeguard is disabled (fault.h).
  */
 #ifndef RIDGERIDGE_MUTATION_H
 #define RIDGERIDGE_MUTATION_H
 
 #include "fault.h"
 
-/** A mechanism, and a test of the same program. */
 struct mutation {
     const char *name;
-    enum fault fault;
-    const char *test;
+    enum fault fault; /**< safeguard to disable */
+    const char *test; /**< path of a test of the same program */
 };
 
-/** Leaves out what the process was started without; call it first. */
-void mutation_begin(void);
+/** In a child process, disables the safeguard. Call it before g_test_init().
+ */
+void mutation_init(void);
 
-/** Runs the test of a struct mutation with and without its mechanism. */
+/** GLib test function; `data` is a struct mutation. */
 void mutation_test(const void *data);
 
 #endif
--- a/tests/steer-load.c
+++ b/tests/steer-load.c
@@ -1,4 +1,4 @@
-/* The model: callers, nodes, and what came of it. */
+/* Callers and nodes of the steering model, its event loop and its figures. */
 #include "steer-model.h"
 
 #include <math.h>
@@ -8,27 +8,26 @@
 #include "hash.h"
 #include "random.h"
 
-#define TICK_MS 100U       /* between two ticks of a node */
-#define OPEN_MS 1400U      /* a caller waits so long for a flow to open */
-#define TOOK_PART 0.3      /* of the newest answer in an estimate of time */
-#define TRIES 3            /* of a request, with the first */
-#define IDLE_MS 15000U     /* a flow at rest is forgotten */
-#define ANSWER_BYTES 4000U /* of an answer */
+#define TICK_MS 100U /* of a node */
+#define CONNECT_TIMEOUT_MS 1400U
+#define LATENCY_GAIN 0.3 /* of the moving average of latency */
+#define MAX_ATTEMPTS 3   /* of a request */
+#define IDLE_TIMEOUT_MS 15000U
+#define RESPONSE_BYTES 4000U
 #define ROUTE_ADDRESS 0xc6120001U
 #define ROUTE_PORT 443
 
-/* Waits between copies of a first packet and of data. */
-static const unsigned copies_ms[] = {200, 400, 800, 1600};
+/* Retransmission timeouts of first packets and data. */
+static const unsigned retransmit_ms[] = {200, 400, 800, 1600};
 
-/* Node of a caller's flow: the fabric's hash. */
+/* Node that receives a caller's flow: the fabric's ECMP hash. */
 static unsigned
 node_of(const struct model *m, unsigned caller)
 {
     return (unsigned)(hash_pair(HASH_FLOW, caller, m->callers[caller].port) %
-                      m->scene->nodes);
+                      m->scenario->nodes);
 }
 
-/* A packet of a caller. */
 static struct evidence_packet
 packet_of(const struct model *m, unsigned caller)
 {
@@ -43,7 +42,7 @@
                                     .sequence = c->sequence};
 }
 
-/* Steers a packet at its node. */
+/* Steers a packet at its node and measures the CPU time of first packets. */
 static struct evidence_verdict
 steer(struct model *m, unsigned caller, const struct evidence_packet *packet)
 {
@@ -52,374 +51,382 @@
     struct timespec before;
     struct timespec after;
 
-    m->asking = n;
+    m->deciding_node = n;
     (void)clock_gettime(CLOCK_THREAD_CPUTIME_ID, &before);
     evidence_steer(&m->nodes[n], m->now, packet, &verdict);
     (void)clock_gettime(CLOCK_THREAD_CPUTIME_ID, &after);
     if (packet->first) {
         m->decisions++;
-        m->decided_ns +=
+        m->decision_ns +=
             (uint64_t)(after.tv_sec - before.tv_sec) * 1000000000U +
             (uint64_t)after.tv_nsec - (uint64_t)before.tv_nsec;
     }
-    server_spread(m, n);
+    server_broadcast(m, n);
     return verdict;
 }
 
-/* A caller sends a first packet, or a copy of it. */
+/* Sends a first packet, or a retransmission of it. */
 static void
-send_first(struct model *m, unsigned caller, unsigned copy)
+send_first(struct model *m, unsigned caller, unsigned retransmission)
 {
     struct caller *c = &m->callers[caller];
 
-    if (!model_is_lost(m)) {
-        model_plan(m, m->now + CLIENT_MS, EV_FIRST, caller, copy, c->turn);
+    if (!model_packet_is_lost(m)) {
+        model_schedule(m, m->now + CLIENT_DELAY_MS, EV_FIRST_PACKET, caller,
+                       retransmission, c->generation);
     }
 }
 
-/* A caller opens a flow. */
 static void
 open_flow(struct model *m, unsigned caller)
 {
     struct caller *c = &m->callers[caller];
 
-    c->turn++;
-    c->tries++;
+    c->generation++;
+    c->attempts++;
     c->port++;
-    c->up = NONE;
+    c->upstream = NONE;
     c->token = 0;
     c->acknowledged = 0;
     c->sequence = 1;
     c->opening = true;
-    c->taken = false;
+    c->delivered = false;
     send_first(m, caller, 0);
-    model_plan(m, m->now + copies_ms[0], EV_UNOPENED, caller, 1, c->turn);
+    model_schedule(m, m->now + retransmit_ms[0], EV_RETRANSMIT, caller, 1,
+                   c->generation);
 }
 
-/* A caller sends its request, or a copy of it, on its open flow. */
+/* Sends the request, or a retransmission of it, on the caller's open flow. */
 static void
-send_data(struct model *m, unsigned caller, unsigned copy)
+send_data(struct model *m, unsigned caller, unsigned retransmission)
 {
     struct caller *c = &m->callers[caller];
 
-    if (!model_is_lost(m)) {
-        model_plan(m, m->now + CLIENT_MS, EV_DATA, caller, copy, c->turn);
+    if (!model_packet_is_lost(m)) {
+        model_schedule(m, m->now + CLIENT_DELAY_MS, EV_NODE_DATA, caller,
+                       retransmission, c->generation);
     }
-    if (copy < G_N_ELEMENTS(copies_ms)) {
-        model_plan(m, m->now + copies_ms[copy], EV_UNOPENED, caller, copy + 1,
-                   c->turn);
+    if (retransmission < G_N_ELEMENTS(retransmit_ms)) {
+        model_schedule(m, m->now + retransmit_ms[retransmission],
+                       EV_RETRANSMIT, caller, retransmission + 1,
+                       c->generation);
     }
 }
 
-/* A caller gives a flow up. */
 static void
-drop_flow(struct model *m, unsigned caller)
+abandon_flow(struct model *m, unsigned caller)
 {
     struct caller *c = &m->callers[caller];
 
-    if (c->up != NONE && model_server(m, c->up)->open > 0) {
-        model_server(m, c->up)->open--;
+    if (c->upstream != NONE && model_server(m, c->upstream)->open > 0) {
+        model_server(m, c->upstream)->open--;
     }
-    c->up = NONE;
+    c->upstream = NONE;
 }
 
-/* A caller tries once more, on a new flow. */
+/* Retries a request on a new flow while attempts are left. */
 static void
-try_again(struct model *m, unsigned caller)
+retry(struct model *m, unsigned caller)
 {
     struct caller *c = &m->callers[caller];
 
-    drop_flow(m, caller);
-    if (c->pending && c->tries < TRIES) {
+    abandon_flow(m, caller);
+    if (c->pending && c->attempts < MAX_ATTEMPTS) {
         open_flow(m, caller);
     }
 }
 
-/* Nothing came of a packet for a while: a copy is sent, or the flow is given
- * up. */
+/* Retransmission timer: resends the packet, or retries on a new flow after
+ * the connect timeout. */
 static void
-repeat(struct model *m, unsigned caller, unsigned copy, unsigned turn)
+retransmit(struct model *m, unsigned caller, unsigned retransmission,
+           unsigned generation)
 {
     struct caller *c = &m->callers[caller];
     uint64_t waited = 0;
 
-    if (c->turn != turn || !c->pending) {
+    if (c->generation != generation || !c->pending) {
         return;
     }
     if (!c->opening) {
-        if (!c->taken) {
-            send_data(m, caller, copy);
+        if (!c->delivered) {
+            send_data(m, caller, retransmission);
         }
         return;
     }
-    for (unsigned i = 0; i < copy; i++) {
-        waited += copies_ms[i];
+    for (unsigned i = 0; i < retransmission; i++) {
+        waited += retransmit_ms[i];
     }
-    if (waited >= OPEN_MS) {
-        try_again(m, caller);
+    if (waited >= CONNECT_TIMEOUT_MS) {
+        retry(m, caller);
         return;
     }
-    if (copy < 3) {
-        send_first(m, caller, copy);
+    if (retransmission < 3) {
+        send_first(m, caller, retransmission);
     }
-    model_plan(m, m->now + copies_ms[copy], EV_UNOPENED, caller, copy + 1,
-               turn);
+    model_schedule(m, m->now + retransmit_ms[retransmission], EV_RETRANSMIT,
+                   caller, retransmission + 1, generation);
 }
 
-/* A first packet is at the node. */
+/* Steers a first packet that reaches its node. */
 static void
-first_at_node(struct model *m, unsigned caller, unsigned copy, unsigned turn)
+receive_first_packet(struct model *m, unsigned caller, unsigned retransmission,
+                     unsigned generation)
 {
     struct caller *c = &m->callers[caller];
     struct evidence_packet packet = packet_of(m, caller);
     struct evidence_verdict verdict;
     unsigned s;
 
-    if (c->turn != turn) {
+    if (c->generation != generation) {
         return;
     }
-    way_take_snapshot(m);
+    policy_take_snapshot(m);
     for (int i = 0; i < 2; i++) {
         do {
-            m->drawn[i] =
+            m->candidates[i] =
                 (unsigned)(random_next(&m->random) % m->servers->len);
-        } while (model_server(m, m->drawn[i])->leaving);
+        } while (model_server(m, m->candidates[i])->leaving);
     }
     packet.first = true;
     packet.token = 0;
-    packet.acknowledged = copy;
+    packet.acknowledged = retransmission;
     verdict = steer(m, caller, &packet);
     if (verdict.action == EVIDENCE_REFUSE) {
-        model_plan(m, m->now + CLIENT_MS, EV_RESET, caller, 0, turn);
+        model_schedule(m, m->now + CLIENT_DELAY_MS, EV_RESET, caller, 0,
+                       generation);
         return;
     }
     if (verdict.action != EVIDENCE_FORWARD) {
         return;
     }
     s = model_index_of(m, verdict.upstream->id);
-    m->placed[m->asking * m->stride + s]++;
-    if (model_server(m, s)->alive && !model_is_lost(m)) {
-        model_plan(m, m->now + INSIDE_MS + CLIENT_MS, EV_OPENED, caller, s,
-                   turn);
+    m->assigned[m->deciding_node * m->stride + s]++;
+    if (model_server(m, s)->alive && !model_packet_is_lost(m)) {
+        model_schedule(m, m->now + UPSTREAM_DELAY_MS + CLIENT_DELAY_MS,
+                       EV_OPENED, caller, s, generation);
     }
 }
 
-/* The flow opened: the request follows. */
+/* Sends the request on a flow that opened. */
 static void
-opened(struct model *m, unsigned caller, unsigned s, unsigned turn)
+receive_opened(struct model *m, unsigned caller, unsigned s,
+               unsigned generation)
 {
     struct caller *c = &m->callers[caller];
 
-    if (c->turn != turn || !c->opening) {
+    if (c->generation != generation || !c->opening) {
         return;
     }
     c->opening = false;
-    c->up = s;
+    c->upstream = s;
     c->token = upstream_token(model_server(m, s)->id);
     c->acknowledged = 1;
     model_server(m, s)->open++;
     send_data(m, caller, 0);
 }
 
-/* Data is at the node. */
+/* Steers data that reaches its node. */
 static void
-data_at_node(struct model *m, unsigned caller, unsigned copy, unsigned turn)
+receive_data(struct model *m, unsigned caller, unsigned retransmission,
+             unsigned generation)
 {
     struct caller *c = &m->callers[caller];
     struct evidence_packet packet = packet_of(m, caller);
     struct evidence_verdict verdict;
 
-    if (c->turn != turn || c->up == NONE) {
+    if (c->generation != generation || c->upstream == NONE) {
         return;
     }
-    if (copy == 0) {
+    if (retransmission == 0) {
         c->sent_at = m->now;
     }
     packet.length = 900;
     verdict = steer(m, caller, &packet);
     if (verdict.action == EVIDENCE_REFUSE) {
-        m->result->reset_alive += model_server(m, c->up)->alive;
-        model_plan(m, m->now + CLIENT_MS, EV_RESET, caller, 0, turn);
+        m->result->false_resets += model_server(m, c->upstream)->alive;
+        model_schedule(m, m->now + CLIENT_DELAY_MS, EV_RESET, caller, 0,
+                       generation);
     }
-    else if (verdict.action == EVIDENCE_FORWARD && !model_is_lost(m)) {
-        model_plan(m, m->now + INSIDE_MS, EV_ARRIVE, caller, c->up, turn);
+    else if (verdict.action == EVIDENCE_FORWARD && !model_packet_is_lost(m)) {
+        model_schedule(m, m->now + UPSTREAM_DELAY_MS, EV_SERVER_DATA, caller,
+                       c->upstream, generation);
     }
 }
 
-/* Remembers how long a server took, as a node sees it. */
+/* Updates a node's moving average of a server's latency. */
 static void
-note_took(struct model *m, unsigned n, unsigned s, uint64_t ms)
+update_latency(struct model *m, unsigned n, unsigned s, uint64_t ms)
 {
-    double *took = &m->took[n * m->stride + s];
+    double *average = &m->latency_ms[n * m->stride + s];
 
-    *took =
-        *took > 0 ? *took + ((double)ms - *took) * TOOK_PART : (double)ms + 1;
+    *average = *average > 0 ? *average + ((double)ms - *average) * LATENCY_GAIN
+                            : (double)ms + 1;
 }
 
-/* A caller has its whole answer. */
 static void
-answered(struct model *m, unsigned caller, unsigned s, unsigned turn)
+receive_response(struct model *m, unsigned caller, unsigned s,
+                 unsigned generation)
 {
     struct caller *c = &m->callers[caller];
 
-    if (c->turn != turn || !c->pending) {
+    if (c->generation != generation || !c->pending) {
         return;
     }
     c->pending = false;
-    if (m->now <= c->began_at + m->scene->aim_ms) {
-        m->result->in_aim++;
+    if (m->now <= c->started_at + m->scenario->aim_ms) {
+        m->result->on_time++;
     }
     else {
         m->result->late++;
     }
-    c->acknowledged += ANSWER_BYTES;
+    c->acknowledged += RESPONSE_BYTES;
     c->sequence += 900;
-    model_plan(m, m->now + CLIENT_MS, EV_ACK, caller, s, turn);
+    model_schedule(m, m->now + CLIENT_DELAY_MS, EV_ACK, caller, s, generation);
     if (c->is_short || model_server(m, s)->leaving) {
-        drop_flow(m, caller);
+        abandon_flow(m, caller);
     }
 }
 
-/* The acknowledgement of an answer is at the node. */
+/* Steers the acknowledgement of a response at its node. */
 static void
-ack_at_node(struct model *m, unsigned caller, unsigned s, unsigned turn)
+receive_ack(struct model *m, unsigned caller, unsigned s, unsigned generation)
 {
     struct caller *c = &m->callers[caller];
     struct evidence_packet packet = packet_of(m, caller);
 
-    if (c->turn != turn) {
+    if (c->generation != generation) {
         return;
     }
-    packet.closing = c->up == NONE;
-    note_took(m, node_of(m, caller), s, m->now - c->sent_at);
+    packet.closing = c->upstream == NONE;
+    update_latency(m, node_of(m, caller), s, m->now - c->sent_at);
     (void)steer(m, caller, &packet);
 }
 
-/* A caller wants something; its next wish follows by lot. */
+/* Starts a request unless one is pending, and schedules the caller's next one
+ * after an exponentially distributed time. */
 static void
-request(struct model *m, unsigned caller)
+start_request(struct model *m, unsigned caller)
 {
     struct caller *c = &m->callers[caller];
-    double mean = 1000.0 * m->scene->callers / m->scene->per_s;
+    double mean = 1000.0 * m->scenario->callers / m->scenario->per_s;
 
-    model_plan(m, m->now + 1 + (uint64_t)(-mean * log(1.0 - model_draw(m))),
-               EV_REQUEST, caller, 0, 0);
+    model_schedule(
+        m, m->now + 1 + (uint64_t)(-mean * log(1.0 - model_uniform(m))),
+        EV_REQUEST, caller, 0, 0);
     if (c->pending) {
         return;
     }
-    m->result->asked++;
+    m->result->requests++;
     c->pending = true;
-    c->began_at = m->now;
-    c->tries = 0;
-    if (c->up == NONE) {
+    c->started_at = m->now;
+    c->attempts = 0;
+    if (c->upstream == NONE) {
         open_flow(m, caller);
     }
     else {
-        c->turn++;
-        c->tries++;
-        c->taken = false;
+        c->generation++;
+        c->attempts++;
+        c->delivered = false;
         send_data(m, caller, 0);
     }
-    model_plan(m, m->now + m->scene->budget_ms, EV_BUDGET, caller, 0,
-               (unsigned)m->result->asked);
+    model_schedule(m, m->now + m->scenario->budget_ms, EV_TIMEOUT, caller, 0,
+                   (unsigned)m->result->requests);
 }
 
-/* The time budget of a request ends. */
 static void
-end_budget(struct model *m, unsigned caller)
+time_out_request(struct model *m, unsigned caller)
 {
     struct caller *c = &m->callers[caller];
 
-    if (!c->pending || m->now < c->began_at + m->scene->budget_ms) {
+    if (!c->pending || m->now < c->started_at + m->scenario->budget_ms) {
         return;
     }
     c->pending = false;
     c->opening = false;
-    c->turn++;
+    c->generation++;
     m->result->failed++;
-    drop_flow(m, caller);
+    abandon_flow(m, caller);
 }
 
-/* Lets time pass at a node. */
 static void
 tick(struct model *m, unsigned n)
 {
     upstream_tick(&m->sets[n], m->now);
     evidence_tick(&m->nodes[n], m->now);
-    server_spread(m, n);
-    model_plan(m, m->now + TICK_MS, EV_TICK, n, 0, 0);
+    server_broadcast(m, n);
+    model_schedule(m, m->now + TICK_MS, EV_TICK, n, 0, 0);
 }
 
-/* Lets something happen. */
 static void
-happen(struct model *m, const struct event *e)
+dispatch(struct model *m, const struct event *e)
 {
     switch (e->kind) {
     case EV_REQUEST:
-        request(m, e->who);
+        start_request(m, e->target);
         return;
-    case EV_FIRST:
-        first_at_node(m, e->who, e->other, e->turn);
+    case EV_FIRST_PACKET:
+        receive_first_packet(m, e->target, e->argument, e->generation);
         return;
     case EV_OPENED:
-        opened(m, e->who, e->other, e->turn);
+        receive_opened(m, e->target, e->argument, e->generation);
         return;
-    case EV_UNOPENED:
-        repeat(m, e->who, e->other, e->turn);
+    case EV_RETRANSMIT:
+        retransmit(m, e->target, e->argument, e->generation);
         return;
-    case EV_DATA:
-        data_at_node(m, e->who, e->other, e->turn);
+    case EV_NODE_DATA:
+        receive_data(m, e->target, e->argument, e->generation);
         return;
-    case EV_ARRIVE:
-        server_arrive(m, e->other, e->who, e->turn);
+    case EV_SERVER_DATA:
+        server_receive(m, e->argument, e->target, e->generation);
         return;
-    case EV_TAKEN:
+    case EV_DATA_ACK:
         return;
     case EV_DONE:
-        server_finish(m, e->other, e->who, e->turn);
+        server_finish(m, e->argument, e->target, e->generation);
         return;
-    case EV_ANSWER:
-        answered(m, e->who, e->other, e->turn);
+    case EV_RESPONSE:
+        receive_response(m, e->target, e->argument, e->generation);
         return;
-    case EV_SHED:
-        if (m->callers[e->who].turn == e->turn) {
-            m->result->turned_away++;
-            try_again(m, e->who);
+    case EV_REJECTED:
+        if (m->callers[e->target].generation == e->generation) {
+            m->result->rejected++;
+            retry(m, e->target);
         }
         return;
     case EV_ACK:
-        ack_at_node(m, e->who, e->other, e->turn);
+        receive_ack(m, e->target, e->argument, e->generation);
         return;
     case EV_RESET:
-        if (m->callers[e->who].turn == e->turn) {
-            try_again(m, e->who);
+        if (m->callers[e->target].generation == e->generation) {
+            retry(m, e->target);
         }
         return;
-    case EV_BUDGET:
-        end_budget(m, e->who);
+    case EV_TIMEOUT:
+        time_out_request(m, e->target);
         return;
-    case EV_BEAT:
-        server_beat(m, e->who);
-        model_plan(m, m->now + BEAT_MS, EV_BEAT, e->who, 0, 0);
+    case EV_REGISTER:
+        server_register(m, e->target);
+        model_schedule(m, m->now + REGISTRATION_MS, EV_REGISTER, e->target, 0,
+                       0);
         return;
     case EV_TICK:
-        tick(m, e->who);
+        tick(m, e->target);
         return;
-    case EV_DIE:
-        model_server(m, e->who)->alive = false;
-        model_server(m, e->who)->died_at = m->now;
-        model_server(m, e->who)->from_start = false;
+    case EV_CRASH:
+        model_server(m, e->target)->alive = false;
+        model_server(m, e->target)->died_at = m->now;
+        model_server(m, e->target)->whole_run = false;
         return;
-    case EV_RENEW:
-        server_renew(m, e->who);
+    case EV_REPLACE:
+        server_replace(m, e->target);
         return;
-    case EV_GONE:
-        server_go(m, e->who);
+    case EV_STOPPED:
+        server_stop(m, e->target);
         return;
     }
 }
 
-/* A table with the one route of the model. */
 static struct route_table *
 make_table(void)
 {
@@ -437,46 +444,45 @@
     return table;
 }
 
-/* Starts nodes, upstreams and callers. */
+/* Creates nodes, upstreams and callers, and schedules their first events. */
 static void
 start(struct model *m)
 {
-    const struct steer_scene *c = m->scene;
+    const struct steer_scenario *c = m->scenario;
 
     for (unsigned n = 0; n < c->nodes; n++) {
-        upstream_open(&m->sets[n], n, BEAT_MS);
-        evidence_open(&m->nodes[n], &m->sets[n], m->counters, IDLE_MS);
+        upstream_open(&m->sets[n], n, REGISTRATION_MS);
+        evidence_open(&m->nodes[n], &m->sets[n], m->counters, IDLE_TIMEOUT_MS);
         m->nodes[n].settled = true;
         m->nodes[n].rank = (uint32_t)(((uint64_t)n << 32) / c->nodes);
         g_assert_true(evidence_apply(&m->nodes[n], make_table()));
-        model_plan(m, m->now + 1 + n % TICK_MS, EV_TICK, n, 0, 0);
+        model_schedule(m, m->now + 1 + n % TICK_MS, EV_TICK, n, 0, 0);
     }
     for (unsigned s = 0; s < c->upstreams; s++) {
         (void)server_add(m, false);
         model_server(m, s)->slow =
             c->slow_at != 0 && s * 100 < c->slow_share * c->upstreams;
         if (c->die_at != 0 && s * 100 < c->die_share * c->upstreams) {
-            model_plan(m, BEGIN_MS + c->die_at, EV_DIE, s, 0, 0);
+            model_schedule(m, START_MS + c->die_at, EV_CRASH, s, 0, 0);
         }
         if (c->renew_at != 0 && s * 100 < c->renew_share * c->upstreams) {
-            model_plan(m, BEGIN_MS + c->renew_at + 1000ULL * s, EV_RENEW, s, 0,
-                       0);
+            model_schedule(m, START_MS + c->renew_at + 1000ULL * s, EV_REPLACE,
+                           s, 0, 0);
         }
     }
     for (unsigned i = 0; i < c->callers; i++) {
         struct caller *caller = &m->callers[i];
 
-        caller->up = NONE;
+        caller->upstream = NONE;
         caller->port = 1024;
         caller->is_short = i * 100 < c->short_share * c->callers;
-        model_plan(m, m->now + 1 + random_next(&m->random) % 1000, EV_REQUEST,
-                   i, 0, 0);
+        model_schedule(m, m->now + 1 + random_next(&m->random) % 1000,
+                       EV_REQUEST, i, 0, 0);
     }
 }
 
-/* Works the figures out. */
 static void
-conclude(struct model *m)
+compute_result(struct model *m)
 {
     struct steer_result *r = m->result;
     double sum = 0;
@@ -486,24 +492,24 @@
     for (guint i = 0; i < m->servers->len; i++) {
         const struct server *server = model_server(m, i);
 
-        if (server->from_start) {
+        if (server->whole_run) {
             sum += server->arrivals;
             most = MAX(most, server->arrivals);
             count++;
         }
     }
     r->imbalance = sum > 0 ? most * count / sum : 0;
-    r->ns_a_decision =
-        m->decisions > 0 ? (double)m->decided_ns / (double)m->decisions : 0;
-    r->bytes_a_node_s =
-        (double)m->bytes * 1000.0 / m->scene->nodes / m->scene->length_ms;
+    r->ns_per_decision =
+        m->decisions > 0 ? (double)m->decision_ns / (double)m->decisions : 0;
+    r->bytes_per_node_s = (double)m->bytes * 1000.0 / m->scenario->nodes /
+                          m->scenario->length_ms;
 }
 
 /* Frees what start() made. */
 static void
 stop(struct model *m)
 {
-    for (unsigned n = 0; n < m->scene->nodes; n++) {
+    for (unsigned n = 0; n < m->scenario->nodes; n++) {
         evidence_close(&m->nodes[n]);
         upstream_close(&m->sets[n]);
     }
@@ -514,43 +520,42 @@
     g_free(m->counters);
     g_free(m->sets);
     g_free(m->nodes);
-    g_free(m->took);
-    g_free(m->placed);
+    g_free(m->latency_ms);
+    g_free(m->assigned);
     g_free(m->shared);
 }
 
-/* Plays a scene. */
 void
-steer_load_run(const struct steer_scene *scene, enum steer_way way,
+steer_load_run(const struct steer_scenario *scenario, enum steer_policy policy,
                uint64_t seed, struct steer_result *result)
 {
-    struct model m = {.scene = scene,
-                      .way = way,
+    struct model m = {.scenario = scenario,
+                      .policy = policy,
                       .result = result,
-                      .now = BEGIN_MS,
+                      .now = START_MS,
                       .random = seed,
-                      .stride = 2 * scene->upstreams};
+                      .stride = 2 * scenario->upstreams};
 
     memset(result, 0, sizeof(*result));
     m.heap = g_array_new(FALSE, FALSE, sizeof(struct event));
     m.servers = g_ptr_array_new_with_free_func(server_free);
     m.by_id = g_hash_table_new(g_int64_hash, g_int64_equal);
-    m.callers = g_new0(struct caller, scene->callers);
+    m.callers = g_new0(struct caller, scenario->callers);
     m.counters = g_new0(struct counters, 1);
-    m.sets = g_new0(struct upstream_set, scene->nodes);
-    m.nodes = g_new0(struct evidence, scene->nodes);
-    m.took = g_new0(double, (gsize)scene->nodes *m.stride);
-    m.placed = g_new0(unsigned, (gsize)scene->nodes *m.stride);
+    m.sets = g_new0(struct upstream_set, scenario->nodes);
+    m.nodes = g_new0(struct evidence, scenario->nodes);
+    m.latency_ms = g_new0(double, (gsize)scenario->nodes *m.stride);
+    m.assigned = g_new0(unsigned, (gsize)scenario->nodes *m.stride);
     m.shared = g_new0(unsigned, m.stride);
-    way_begin(&m);
+    policy_install(&m);
     start(&m);
-    while (m.now < BEGIN_MS + scene->length_ms) {
-        struct event event = model_next(&m);
+    while (m.now < START_MS + scenario->length_ms) {
+        struct event event = model_next_event(&m);
 
         m.now = event.at;
-        happen(&m, &event);
+        dispatch(&m, &event);
     }
-    conclude(&m);
+    compute_result(&m);
     stop(&m);
-    way_end(&m);
+    policy_remove(&m);
 }
--- a/tests/steer-model.c
+++ b/tests/steer-model.c
@@ -1,28 +1,27 @@
-/* Time, chance and the upstreams of the model by number. */
+/* Event queue, random draws and lookups of the steering model. */
 #include "steer-model.h"
 
 #include "random.h"
 
-/* A number from 0 to 1. */
 double
-model_draw(struct model *m)
+model_uniform(struct model *m)
 {
     return (double)(random_next(&m->random) >> 11) / (double)(1ULL << 53);
 }
 
-/* Says whether an event comes before another one. */
 static bool
 is_before(const struct event *a, const struct event *b)
 {
-    return a->at != b->at ? a->at < b->at : a->order < b->order;
+    return a->at != b->at ? a->at < b->at : a->sequence < b->sequence;
 }
 
-/* Lets something happen later. */
+/* Adds an event to the heap. */
 void
-model_plan(struct model *m, uint64_t at, enum event_kind kind, unsigned who,
-           unsigned other, unsigned turn)
+model_schedule(struct model *m, uint64_t at, enum event_kind kind,
+               unsigned target, unsigned argument, unsigned generation)
 {
-    struct event event = {at, m->orders++, kind, who, other, turn};
+    struct event event = {at,     m->event_count++, kind,
+                          target, argument,         generation};
     struct event *heap;
     guint i = m->heap->len;
 
@@ -35,9 +34,9 @@
     heap[i] = event;
 }
 
-/* Takes what happens next. */
+/* Removes the earliest event from the heap. */
 struct event
-model_next(struct model *m)
+model_next_event(struct model *m)
 {
     struct event *heap = (struct event *)(void *)m->heap->data;
     struct event first = heap[0];
@@ -60,22 +59,19 @@
     return first;
 }
 
-/* Says whether a packet is lost. */
 bool
-model_is_lost(struct model *m)
+model_packet_is_lost(struct model *m)
 {
-    return m->scene->loss > 0 &&
-           random_next(&m->random) % 1000 < m->scene->loss;
+    return m->scenario->loss > 0 &&
+           random_next(&m->random) % 1000 < m->scenario->loss;
 }
 
-/* An upstream by index. */
 struct server *
 model_server(const struct model *m, unsigned index)
 {
     return g_ptr_array_index(m->servers, index);
 }
 
-/* Index of an upstream by id. */
 unsigned
 model_index_of(const struct model *m, uint64_t id)
 {
--- a/tests/steer-policies.c
+++ b/tests/steer-policies.c
@@ -1,27 +1,25 @@
-/* The ways of choosing that are compared: what each takes for work. */
+/* Load-balancing policies of the steering model, each as a measure of work. */
 #include "steer-model.h"
 
 #include "fault.h"
 #include "random.h"
 
-#define SNAPSHOT_MS 500U /* age of shared counts */
+#define SNAPSHOT_MS 500U /* between refreshes of the shared counts */
 
-static struct model *model; /* that fault_work() looks at */
+static struct model *model; /* read by policy_work() */
 
-/* Name of a way. */
 const char *
-steer_way_name(enum steer_way way)
+steer_policy_name(enum steer_policy policy)
 {
-    static const char *const names[STEER_WAYS] = {"today",    "random", "turn",
-                                                  "no-place", "two",    "wait",
-                                                  "shared",   "oracle"};
+    static const char *const names[STEER_POLICIES] = {
+        "today", "random", "turn",   "no-place",
+        "two",   "wait",   "shared", "oracle"};
 
-    return names[way];
+    return names[policy];
 }
 
-/* Takes shared counts, when they are due. */
 void
-way_take_snapshot(struct model *m)
+policy_take_snapshot(struct model *m)
 {
     if (m->now < m->snapshot_at) {
         return;
@@ -32,62 +30,61 @@
     }
 }
 
-/* Work as one of the ways sees it. */
+/* Work of an upstream under the model's policy; the least is chosen. */
 static uint64_t
-trial_work(const struct evidence *ev, const struct upstream *u)
+policy_work(const struct evidence *ev, const struct upstream *u)
 {
     unsigned s = model_index_of(model, u->id);
     const struct server *server = model_server(model, s);
-    unsigned at = model->asking * model->stride + s;
-    bool is_drawn = s == model->drawn[0] || s == model->drawn[1];
+    unsigned at = model->deciding_node * model->stride + s;
+    bool is_candidate = s == model->candidates[0] || s == model->candidates[1];
     uint64_t own = (uint64_t)(u->busy + 1) * 8 + u->open;
-    double took = model->took[at];
+    double latency = model->latency_ms[at];
 
     (void)ev;
-    switch (model->way) {
+    switch (model->policy) {
     case STEER_RANDOM:
         return random_next(&model->random) >> 1;
-    case STEER_TURN:
-        return model->placed[at];
-    case STEER_TWO:
-        return is_drawn ? own : UINT64_MAX / 2;
-    case STEER_WAIT:
+    case STEER_ROUND_ROBIN:
+        return model->assigned[at];
+    case STEER_TWO_CHOICES:
+        return is_candidate ? own : UINT64_MAX / 2;
+    case STEER_LATENCY:
         return (uint64_t)((double)own *
-                          (took > 0 ? took : model->scene->work_ms));
-    case STEER_SHARED:
-        return is_drawn ? model->shared[s] : UINT64_MAX / 2;
+                          (latency > 0 ? latency : model->scenario->work_ms));
+    case STEER_SHARED_COUNTS:
+        return is_candidate ? model->shared[s] : UINT64_MAX / 2;
     case STEER_ORACLE:
         return !server->alive
                    ? UINT64_MAX / 2
                    : ((uint64_t)server->open +
-                      8 * (server->running + server->waiting->len / 2)) *
+                      8 * (server->running + server->backlog->len / 2)) *
                          (server_is_slow(model, server)
-                              ? model->scene->slow_times
+                              ? model->scenario->slow_times
                               : 1);
-    case STEER_TODAY:
-    case STEER_NO_PLACE:
-    case STEER_WAYS:
+    case STEER_LEAST_WORK:
+    case STEER_NO_RANK:
+    case STEER_POLICIES:
         break;
     }
     return own;
 }
 
-/* Makes nodes choose by the way of a model. */
 void
-way_begin(struct model *m)
+policy_install(struct model *m)
 {
     model = m;
-    fault_work =
-        m->way == STEER_TODAY || m->way == STEER_NO_PLACE ? NULL : trial_work;
-    fault_trials[FAULT_NO_RANK] |= m->way == STEER_NO_PLACE;
+    fault_work = m->policy == STEER_LEAST_WORK || m->policy == STEER_NO_RANK
+                     ? NULL
+                     : policy_work;
+    fault_trials[FAULT_NO_RANK] |= m->policy == STEER_NO_RANK;
 }
 
-/* Lets them choose as the program does. */
 void
-way_end(const struct model *m)
+policy_remove(const struct model *m)
 {
     fault_work = NULL;
-    if (m->way == STEER_NO_PLACE) {
+    if (m->policy == STEER_NO_RANK) {
         fault_trials[FAULT_NO_RANK] = false;
     }
     model = NULL;
--- a/tests/steer-servers.c
+++ b/tests/steer-servers.c
@@ -1,31 +1,31 @@
-/* The upstreams of the model: registrations, queues, slow spells, ends. */
+/* Upstreams of the steering model: registrations, queues and faults. */
 #include "steer-model.h"
 
 #include <math.h>
 
 #include "random.h"
 
-#define COLD_MS 2000U     /* an upstream that starts is slow for so long */
-#define COLD_TIMES 1.6    /* as slow */
-#define WORK_LEAST 0.4    /* of the mean; the rest is drawn exponentially */
-#define DRAIN_MS 4000U    /* from leaving to gone */
-#define RECORD_BYTES 120U /* a record alone, with UDP and IP */
-#define DOUBT_BYTES 60U   /* a doubt, with UDP and IP */
+#define WARMUP_MS 2000U
+#define WARMUP_SLOWDOWN 1.6 /* factor on the service time */
+#define WORK_FLOOR 0.4      /* of the mean; the rest is exponential */
+#define DRAIN_MS 4000U      /* from leaving to deregistration */
+#define RECORD_BYTES 120U   /* with UDP and IP headers */
+#define SUSPICION_BYTES 60U /* with UDP and IP headers */
 
-/* Passes on what a node believes anew, and its doubts. */
+/* Sends suspicions to the upstreams' keepers and changes to all nodes. */
 void
-server_spread(struct model *m, unsigned n)
+server_broadcast(struct model *m, unsigned n)
 {
     struct upstream_set *set = &m->sets[n];
 
     for (guint i = 0; i < set->suspicions->len; i++) {
-        struct upstream_suspicion doubt =
+        struct upstream_suspicion suspicion =
             g_array_index(set->suspicions, struct upstream_suspicion, i);
-        unsigned s = model_index_of(m, doubt.id);
+        unsigned s = model_index_of(m, suspicion.id);
 
-        m->bytes += DOUBT_BYTES;
+        m->bytes += SUSPICION_BYTES;
         upstream_report_suspicion(&m->sets[model_server(m, s)->keeper], m->now,
-                                  doubt.id, n + 1, doubt.quiet_ms);
+                                  suspicion.id, n + 1, suspicion.quiet_ms);
     }
     g_array_set_size(set->suspicions, 0);
     for (guint i = 0; i < set->changed->len; i++) {
@@ -39,10 +39,10 @@
         }
         if (u->state == UPSTREAM_SILENT && s != NONE &&
             model_server(m, s)->alive) {
-            m->result->silent_alive++;
+            m->result->false_silent++;
         }
         upstream_pack(set, m->now, u, &record);
-        for (unsigned other = 0; other < m->scene->nodes; other++) {
+        for (unsigned other = 0; other < m->scenario->nodes; other++) {
             if (other != n) {
                 (void)upstream_merge(&m->sets[other], m->now, &record);
                 m->bytes += RECORD_BYTES;
@@ -52,9 +52,8 @@
     g_array_set_size(set->changed, 0);
 }
 
-/* Lets a server register. */
 void
-server_beat(struct model *m, unsigned s)
+server_register(struct model *m, unsigned s)
 {
     struct server *server = model_server(m, s);
     struct upstream_registration r = {
@@ -63,10 +62,10 @@
         .hall = "hall",
         .address = 0x0a800000U + s,
         .port = 8080,
-        .slots = m->scene->slots,
+        .slots = m->scenario->slots,
         .leaving = server->leaving,
-        .warm_ms = server->cold_until > m->now
-                       ? (uint32_t)(server->cold_until - m->now)
+        .warm_ms = server->warmup_until > m->now
+                       ? (uint32_t)(server->warmup_until - m->now)
                        : 0,
         .sequence = ++server->sequence};
 
@@ -74,49 +73,48 @@
         return;
     }
     (void)upstream_register(&m->sets[server->keeper], m->now, &r);
-    server_spread(m, server->keeper);
+    server_broadcast(m, server->keeper);
 }
 
-/* Adds a server, which registers from now on. */
+/* Adds a server with its timer for registrations. */
 unsigned
-server_add(struct model *m, bool cold)
+server_add(struct model *m, bool warming_up)
 {
     struct server *server = g_new0(struct server, 1);
     unsigned s = m->servers->len;
 
     server->id = (random_next(&m->random) >> 24) | 1;
-    server->keeper = s % m->scene->nodes;
+    server->keeper = s % m->scenario->nodes;
     server->alive = true;
-    server->from_start = !cold;
-    server->cold_until = cold ? m->now + COLD_MS : 0;
-    server->waiting = g_array_new(FALSE, FALSE, sizeof(unsigned));
+    server->whole_run = !warming_up;
+    server->warmup_until = warming_up ? m->now + WARMUP_MS : 0;
+    server->backlog = g_array_new(FALSE, FALSE, sizeof(unsigned));
     g_ptr_array_add(m->servers, server);
     g_hash_table_insert(m->by_id, &server->id, server);
-    server_beat(m, s);
-    model_plan(m, m->now + BEAT_MS, EV_BEAT, s, 0, 0);
+    server_register(m, s);
+    model_schedule(m, m->now + REGISTRATION_MS, EV_REGISTER, s, 0, 0);
     return s;
 }
 
-/* Says whether an upstream is in its slow spell. */
 bool
 server_is_slow(const struct model *m, const struct server *server)
 {
-    const struct steer_scene *c = m->scene;
+    const struct steer_scenario *c = m->scenario;
 
-    return server->slow && m->now >= BEGIN_MS + c->slow_at &&
-           m->now < BEGIN_MS + c->slow_at + c->slow_for;
+    return server->slow && m->now >= START_MS + c->slow_at &&
+           m->now < START_MS + c->slow_at + c->slow_for;
 }
 
-/* Time that a request takes at a server. */
+/* Draws the service time of a request, in ms. */
 static uint64_t
-work_time(struct model *m, const struct server *server)
+service_time(struct model *m, const struct server *server)
 {
-    const struct steer_scene *c = m->scene;
-    double ms = c->work_ms *
-                (WORK_LEAST - (1.0 - WORK_LEAST) * log(1.0 - model_draw(m)));
+    const struct steer_scenario *c = m->scenario;
+    double ms = c->work_ms * (WORK_FLOOR - (1.0 - WORK_FLOOR) *
+                                               log(1.0 - model_uniform(m)));
 
-    if (m->now < server->cold_until) {
-        ms *= COLD_TIMES;
+    if (m->now < server->warmup_until) {
+        ms *= WARMUP_SLOWDOWN;
     }
     if (server_is_slow(m, server)) {
         ms *= c->slow_times;
@@ -124,19 +122,21 @@
     return (uint64_t)ms + 1;
 }
 
-/* Starts a request at a server that has a free slot. */
+/* Starts a request in a free slot. */
 static void
-run_request(struct model *m, unsigned s, unsigned caller, unsigned turn)
+run_request(struct model *m, unsigned s, unsigned caller, unsigned generation)
 {
     struct server *server = model_server(m, s);
 
     server->running++;
-    model_plan(m, m->now + work_time(m, server), EV_DONE, caller, s, turn);
+    model_schedule(m, m->now + service_time(m, server), EV_DONE, caller, s,
+                   generation);
 }
 
-/* Data arrives at a server. */
+/* Runs, queues or rejects a request; only acknowledges a duplicate. */
 void
-server_arrive(struct model *m, unsigned s, unsigned caller, unsigned turn)
+server_receive(struct model *m, unsigned s, unsigned caller,
+               unsigned generation)
 {
     struct server *server = model_server(m, s);
     struct caller *c = &m->callers[caller];
@@ -144,29 +144,32 @@
     if (!server->alive) {
         return;
     }
-    if (!model_is_lost(m)) {
-        model_plan(m, m->now + CLIENT_MS, EV_TAKEN, caller, 0, turn);
+    if (!model_packet_is_lost(m)) {
+        model_schedule(m, m->now + CLIENT_DELAY_MS, EV_DATA_ACK, caller, 0,
+                       generation);
     }
-    if (c->turn != turn || c->taken) {
+    if (c->generation != generation || c->delivered) {
         return;
     }
-    c->taken = true;
+    c->delivered = true;
     server->arrivals++;
-    if (server->running < m->scene->slots) {
-        run_request(m, s, caller, turn);
+    if (server->running < m->scenario->slots) {
+        run_request(m, s, caller, generation);
     }
-    else if (server->waiting->len / 2 < m->scene->queue) {
-        g_array_append_val(server->waiting, caller);
-        g_array_append_val(server->waiting, turn);
+    else if (server->backlog->len / 2 < m->scenario->queue) {
+        g_array_append_val(server->backlog, caller);
+        g_array_append_val(server->backlog, generation);
     }
     else {
-        model_plan(m, m->now + CLIENT_MS, EV_SHED, caller, 0, turn);
+        model_schedule(m, m->now + CLIENT_DELAY_MS, EV_REJECTED, caller, 0,
+                       generation);
     }
 }
 
-/* A request has run: the next one begins. */
+/* Sends the response and starts the next request of the queue. */
 void
-server_finish(struct model *m, unsigned s, unsigned caller, unsigned turn)
+server_finish(struct model *m, unsigned s, unsigned caller,
+              unsigned generation)
 {
     struct server *server = model_server(m, s);
 
@@ -174,19 +177,20 @@
         return;
     }
     server->running--;
-    model_plan(m, m->now + CLIENT_MS, EV_ANSWER, caller, s, turn);
-    if (server->waiting->len > 0) {
-        unsigned next = g_array_index(server->waiting, unsigned, 0);
-        unsigned its_turn = g_array_index(server->waiting, unsigned, 1);
-
-        g_array_remove_range(server->waiting, 0, 2);
-        run_request(m, s, next, its_turn);
+    model_schedule(m, m->now + CLIENT_DELAY_MS, EV_RESPONSE, caller, s,
+                   generation);
+    if (server->backlog->len > 0) {
+        unsigned next = g_array_index(server->backlog, unsigned, 0);
+        unsigned next_generation = g_array_index(server->backlog, unsigned, 1);
+
+        g_array_remove_range(server->backlog, 0, 2);
+        run_request(m, s, next, next_generation);
     }
 }
 
-/* An upstream is replaced by a cold one. */
+/* Drains an upstream and adds a new one that warms up. */
 void
-server_renew(struct model *m, unsigned s)
+server_replace(struct model *m, unsigned s)
 {
     struct server *server = model_server(m, s);
 
@@ -195,28 +199,26 @@
     }
     (void)server_add(m, true);
     server->leaving = true;
-    server->from_start = false;
-    server_beat(m, s);
-    model_plan(m, m->now + DRAIN_MS, EV_GONE, s, 0, 0);
+    server->whole_run = false;
+    server_register(m, s);
+    model_schedule(m, m->now + DRAIN_MS, EV_STOPPED, s, 0, 0);
 }
 
-/* An upstream that left has ended. */
 void
-server_go(struct model *m, unsigned s)
+server_stop(struct model *m, unsigned s)
 {
     struct server *server = model_server(m, s);
 
     server->alive = false;
     (void)upstream_deregister(&m->sets[server->keeper], m->now, server->id, 0);
-    server_spread(m, server->keeper);
+    server_broadcast(m, server->keeper);
 }
 
-/* Frees a server. */
 void
 server_free(gpointer data)
 {
     struct server *server = data;
 
-    g_array_free(server->waiting, TRUE);
+    g_array_free(server->backlog, TRUE);
     g_free(server);
 }
--- a/tests/test-evidence.c
+++ b/tests/test-evidence.c
@@ -1,6 +1,7 @@
 /*
- * Steering by evidence: what becomes of packets, when an open flow ends, what
- * is told of upstreams, and decisions that are recomputed. Tables of cases.
+ * Steering by evidence: the verdict on each kind of packet, rerouting of
+ * retransmitted first packets, suspicion reports, resets of flows of lost
+ * upstreams, and verification of recorded decisions.
  */
 #include <glib.h>
 #include <string.h>
@@ -11,17 +12,17 @@
 #include "hash.h"
 #include "mutation.h"
 
-/* What becomes of one packet. */
+/* A packet, the state of its entry, and the verdict. */
 struct steer_case {
     const char *name;
     bool first;
     bool reset;
-    uint64_t named; /* upstream that the token names, 0: none */
-    uint16_t port;  /* of the route */
-    char
-        before; /* l: 1 leaves, L: and is unheard then, s: 1 is silent, g: 1
-                   has gone, u: a reused address, d: route dropped, n: no
-                   upstream, x: nothing settled and no upstream, t: no table */
+    uint64_t named; /* upstream named by the token, 0: none */
+    uint16_t port;  /* destination port; ROUTE_PORT has a route */
+    /* l: upstream 1 is leaving, L: and misses registrations, s: silent, g:
+     * gone, u: shares its address with upstream 2, d: route dropped, n: no
+     * upstream, x: no upstream and not settled, t: no table */
+    char state;
     enum evidence_action action;
     enum ring_rule rule;
 };
@@ -48,7 +49,7 @@
     {"unknown-named-before-the-inventory", false, false, 99, ROUTE_PORT, 'x',
      EVIDENCE_HOLD, RULE_UNKNOWN_EVIDENCE},
     {"first-no-route", true, false, 0, 9, '-', EVIDENCE_REFUSE, RULE_NO_ROUTE},
-    {"open-flow-of-a-route-not-known-yet", false, false, 1, 9, '-',
+    {"open-flow-of-an-unknown-route", false, false, 1, 9, '-',
      EVIDENCE_FORWARD, RULE_EVIDENCE},
     {"open-flow-of-a-dropped-route", false, false, 1, ROUTE_PORT, 'd',
      EVIDENCE_REFUSE, RULE_ROUTE_DROPPED},
@@ -60,7 +61,7 @@
      RULE_LEAST_WORK},
     {"first-all-leaving", true, false, 0, ROUTE_PORT, 'l', EVIDENCE_REFUSE,
      RULE_NO_UPSTREAM},
-    {"first-all-leaving-and-unheard", true, false, 0, ROUTE_PORT, 'L',
+    {"first-all-leaving-unregistered", true, false, 0, ROUTE_PORT, 'L',
      EVIDENCE_REFUSE, RULE_NO_UPSTREAM},
     {"first-before-the-inventory", true, false, 0, ROUTE_PORT, 'x',
      EVIDENCE_HOLD, RULE_NO_UPSTREAM},
@@ -68,12 +69,12 @@
      RULE_NO_TABLE},
 };
 
-/* Brings an entry into the state of a case. */
+/* Opens an entry in the state of a case. */
 static void
-prepare(struct fixture *f, char before)
+open_in_state(struct fixture *f, char state)
 {
-    fixture_open(f, before == 'n' || before == 'x' ? 0 : 1);
-    switch (before) {
+    fixture_open(f, state == 'n' || state == 'x' ? 0 : 1);
+    switch (state) {
     case 'l':
         fixture_register(f, NOW, 1, 2, true);
         return;
@@ -107,7 +108,7 @@
     }
 }
 
-/* Steers one packet. */
+/* Packets must not reach a wrong upstream or be reset without a reason. */
 static void
 test_steer(const void *data)
 {
@@ -117,7 +118,7 @@
     struct evidence_verdict verdict;
     struct fixture f;
 
-    prepare(&f, c->before);
+    open_in_state(&f, c->state);
     packet.destination_port = c->port;
     packet.reset = c->reset;
     evidence_steer(&f.ev, NOW, &packet, &verdict);
@@ -129,34 +130,35 @@
     fixture_close(&f);
 }
 
-/* Copies of a first packet, as they are sent after 200 and 600 ms. */
-struct copy_case {
+/* A retransmission of a first packet. */
+struct retransmission_case {
     const char *name;
-    uint32_t copies;
-    uint64_t after_ms; /* since the first one */
-    bool answered;     /* the upstream answered the first one */
-    bool leaves;       /* it says that it leaves before the copy comes */
-    bool alive;        /* another flow got an answer of it lately */
-    bool same;         /* the copy goes where the first went */
-    bool suspected;    /* the upstream is avoided by others */
+    uint32_t number;
+    uint64_t after_ms; /* since the first transmission */
+    bool answered;     /* the upstream answered the first transmission */
+    bool leaves;       /* the upstream leaves before the retransmission */
+    bool alive;        /* the upstream answered another flow recently */
+    bool same;         /* forwarded to the same upstream */
+    bool suspected;    /* the first upstream is suspected afterwards */
 };
 
-static const struct copy_case copies[] = {
-    {"first-copy", 1, 200, false, false, false, false, true},
-    {"first-copy-to-one-alive", 1, 200, false, false, true, true, true},
-    {"second-copy", 2, 600, false, false, false, false, true},
-    {"second-copy-to-one-alive", 2, 600, false, false, true, false, true},
-    {"second-copy-after-an-answer", 2, 600, true, false, false, true, false},
-    {"first-copy-when-it-leaves", 1, 200, false, true, true, false, false},
-    {"first-copy-that-was-held-up", 1, 0, false, false, false, true, false},
-    {"second-copy-that-was-held-up", 2, 10, false, false, false, true, false},
+static const struct retransmission_case retransmissions[] = {
+    {"first", 1, 200, false, false, false, false, true},
+    {"first-to-live-upstream", 1, 200, false, false, true, true, true},
+    {"second", 2, 600, false, false, false, false, true},
+    {"second-to-live-upstream", 2, 600, false, false, true, false, true},
+    {"second-after-an-answer", 2, 600, true, false, false, true, false},
+    {"first-to-leaving-upstream", 1, 200, false, true, true, false, false},
+    {"first-delayed-in-the-network", 1, 0, false, false, false, true, false},
+    {"second-delayed-in-the-network", 2, 10, false, false, false, true, false},
 };
 
-/* Sends a first packet and a copy of it. */
+/* A retransmission must be rerouted from an upstream that does not answer, and
+ * from no other. */
 static void
-test_copy(const void *data)
+test_retransmission(const void *data)
 {
-    const struct copy_case *c = data;
+    const struct retransmission_case *c = data;
     struct evidence_packet packet = fixture_packet(7, true, 0, 0);
     struct evidence_verdict verdict;
     struct fixture f;
@@ -180,7 +182,7 @@
 
         evidence_steer(&f.ev, NOW, &other, &verdict);
     }
-    packet.acknowledged = c->copies;
+    packet.acknowledged = c->number;
     evidence_steer(&f.ev, NOW + c->after_ms, &packet, &verdict);
     g_assert_cmpint(verdict.action, ==, EVIDENCE_FORWARD);
     g_assert_cmpint(verdict.upstream->id == first, ==, c->same);
@@ -189,69 +191,65 @@
     fixture_close(&f);
 }
 
-/* What becomes of data that gets no answer. Each step is a letter and the time
- * since the start, in 10 ms:
- *   a b   the caller of that flow sends its data (again); both flows are at
- *         upstream 1
- *   A B   that caller acknowledges more bytes: upstream 1 answered it
- *   o     a flow at upstream 2 sends data; O it gets an answer
- *   s     upstream 1 is silent, says another node
- *   S     upstream 1 is silent, by what this node heard itself
- *   L     upstream 1 is lost, as another node concluded
- *   r     upstream 1 registers again
- *   h     the caller of flow a sends what comes after its next data; i it
- *         sends that next data
- *   w     a packet of flow a waits for this entry's link; l it has left; u one
- *         was dropped that did not wait, v one that did
- *   z     this entry stood still
- *   f     the first flow's caller gives up
- *   x     the caller of flow a resets it
- * `lost` names the steps whose packet is answered by a reset. */
+/* Unanswered data. Each step is a letter and the time since the start, in
+ * 10 ms:
+ *   a b   data of flow a or b, repeated letters are retransmissions; both
+ *         flows are at upstream 1
+ *   A B   acknowledgement of new bytes: upstream 1 answered the flow
+ *   o O   data of a flow at upstream 2; acknowledgement of its answer
+ *   s     another keeper marks upstream 1 silent
+ *   S     this node, as keeper, marks upstream 1 silent
+ *   L     another keeper marks upstream 1 lost
+ *   r     upstream 1 registers
+ *   h i   data of flow a behind a gap; data that fills the gap
+ *   w l   a packet of flow a is queued on the egress link; it is sent
+ *   u v   an unqueued packet of flow a is dropped; a queued one is dropped
+ *   z     this entry stalled
+ *   f     flow f is closed by its caller
+ *   x     flow a is reset by its caller
+ * `reset` names the steps whose packet is answered by a reset. */
 struct lost_case {
     const char *name;
     const char *steps;
-    const char *lost;
+    const char *reset;
 };
 
 static const struct lost_case losts[] = {
-    {"proved-twice", "a0 s5 o10 O15 a20 o30 O35 a60", "a60"},
-    {"proved-once", "a0 s5 o10 O15 a20", ""},
-    {"silent-late", "a0 o10 O15 a20 o30 O35 s40 a60", "a60"},
-    {"ready-however-often", "a0 o10 O15 a20 o30 O35 a60 o70 O75 a140", ""},
-    {"ready-however-many",
+    {"two-timeouts", "a0 s5 o10 O15 a20 o30 O35 a60", "a60"},
+    {"one-timeout", "a0 s5 o10 O15 a20", ""},
+    {"silent-after-a-timeout", "a0 o10 O15 a20 o30 O35 s40 a60", "a60"},
+    {"ready-many-timeouts", "a0 o10 O15 a20 o30 O35 a60 o70 O75 a140", ""},
+    {"ready-many-flows",
      "a0 b1 o10 O15 a20 b21 o30 O35 a60 b61 o70 O75 a140 b141", ""},
-    {"silent-here-alone", "a0 S5 o10 O15 a20 o30 O35 a60", ""},
+    {"silent-by-this-node-only", "a0 S5 o10 O15 a20 o30 O35 a60", ""},
     {"silent-but-answering", "a0 s5 o10 O15 A18 a20 o30 O35 a60", ""},
-    {"then-the-other-flow-too", "a0 b1 s5 o10 O15 a20 b21 o30 O35 a60 b61",
-     "a60 b61"},
-    {"another-flow-is-answered", "a0 b1 s5 o10 O15 B16 a20 o30 O35 a60", ""},
-    {"answered-before-and-then-dead", "a0 A3 b4 s5 o10 O15 b24 o30 O35 b64",
-     "b64"},
-    {"nothing-sent-later-was-answered", "o0 a1 s5 O15 a21 a61 a141", ""},
-    {"not-proved-twice-in-a-row", "a0 s5 o10 O15 a20 a60 o70 O75 a140", ""},
-    {"links-that-came-back", "a0 s5 a20 a60 o100 O105 a140", ""},
-    {"links-that-came-back-long-ago",
-     "a0 s5 a20 a60 o100 O105 a140 o200 O205 a300", "a300"},
-    {"nobody-else-is-there", "a0 s5 a20 a60 a140", ""},
-    {"copies-that-were-held-up", "a0 s5 o10 O15 a20 o21 O22 a22 a23", ""},
-    {"stood-still", "a0 s5 z6 o10 O15 a20 o30 O35 a60", ""},
-    {"stood-still-long-ago", "z0 a400 s405 o410 O415 a420 o430 O435 a460",
-     "a460"},
-    {"callers-own-reset", "a0 s5 o10 O15 a20 o30 O35 x60", ""},
-    {"an-end-is-no-life", "f0 b1 s5 o10 O15 b21 o30 O35 b61", "b61"},
+    {"both-flows", "a0 b1 s5 o10 O15 a20 b21 o30 O35 a60 b61", "a60 b61"},
+    {"other-flow-answered", "a0 b1 s5 o10 O15 B16 a20 o30 O35 a60", ""},
+    {"dead-after-an-answer", "a0 A3 b4 s5 o10 O15 b24 o30 O35 b64", "b64"},
+    {"no-later-data-answered", "o0 a1 s5 O15 a21 a61 a141", ""},
+    {"unconfirmed-second-timeout", "a0 s5 o10 O15 a20 a60 o70 O75 a140", ""},
+    {"links-recovered", "a0 s5 a20 a60 o100 O105 a140", ""},
+    {"links-recovered-long-ago", "a0 s5 a20 a60 o100 O105 a140 o200 O205 a300",
+     "a300"},
+    {"no-other-upstream", "a0 s5 a20 a60 a140", ""},
+    {"retransmissions-delayed", "a0 s5 o10 O15 a20 o21 O22 a22 a23", ""},
+    {"stalled", "a0 s5 z6 o10 O15 a20 o30 O35 a60", ""},
+    {"stalled-long-ago", "z0 a400 s405 o410 O415 a420 o430 O435 a460", "a460"},
+    {"reset-by-caller", "a0 s5 o10 O15 a20 o30 O35 x60", ""},
+    {"close-is-no-answer", "f0 b1 s5 o10 O15 b21 o30 O35 b61", "b61"},
     {"registers-again", "a0 s5 r8 o10 O15 a20 o30 O35 a60", ""},
-    {"lost-for-all", "L5 a10", "a10"},
-    {"lost-for-all-the-data-waits", "a0 L5 a20", "a20"},
-    {"lost-for-all-but-it-answered-here", "a0 A3 L5 a10 a100", ""},
-    {"lost-for-all-and-answered-long-ago", "a0 A3 L5 a210", "a210"},
-    {"lost-for-all-but-this-node-stood-still", "z0 L5 a10", ""},
-    {"lost-for-all-answered-here-and-proved",
-     "a0 A3 L5 a10 o20 O25 a30 o40 O45 a70", "a70"},
-    {"hole-behind-it", "a0 s1 h1 o10 O15 a20 o40 O45 a60", ""},
+    {"lost", "L5 a10", "a10"},
+    {"lost-while-data-is-unanswered", "a0 L5 a20", "a20"},
+    {"lost-but-answered-here", "a0 A3 L5 a10 a100", ""},
+    {"lost-and-answered-long-ago", "a0 A3 L5 a210", "a210"},
+    {"lost-but-this-node-stalled", "z0 L5 a10", ""},
+    {"lost-answered-here-and-timeouts", "a0 A3 L5 a10 o20 O25 a30 o40 O45 a70",
+     "a70"},
+    {"data-behind-a-gap", "a0 s1 h1 o10 O15 a20 o40 O45 a60", ""},
     {"lost-and-registers-again", "L5 r8 a10", ""},
 };
 
-/* Names flow a. */
+/* Hash of flow a. */
 static uint64_t
 flow_a(void)
 {
@@ -260,9 +258,9 @@
     return evidence_hash(&packet);
 }
 
-/* Plays a step that is no packet; says whether it was one. */
+/* Applies a step that is not a packet; returns whether it did. */
 static bool
-play_event(struct fixture *f, uint64_t now, char letter)
+apply_event(struct fixture *f, uint64_t now, char letter)
 {
     switch (letter) {
     case 's':
@@ -299,7 +297,6 @@
     }
 }
 
-/* The packet of a step. */
 static struct evidence_packet
 packet_of_step(char letter, uint32_t *acknowledged)
 {
@@ -324,58 +321,58 @@
     return packet;
 }
 
-/* What is told of upstream 1 to the node that hears it. Steps as above; `told`
- * names those after which it is doubted, with a dash those after which it is
- * said to have answered after all. */
-struct doubt_case {
+/* Reports about upstream 1 to its keeper. Steps as above; `reports` names the
+ * steps after which a suspicion is reported, with a dash an alive report. */
+struct suspicion_case {
     const char *name;
     const char *steps;
-    const char *told;
+    const char *reports;
 };
 
-static const struct doubt_case doubts[] = {
-    {"proved", "a0 o10 O15 a20", "a20"},
-    {"not-proved", "a0 o1 a20", ""},
-    {"proved-again", "a0 o10 O15 a20 o30 O35 a60", "a20 a60"},
+static const struct suspicion_case suspicions[] = {
+    {"timeout", "a0 o10 O15 a20", "a20"},
+    {"unconfirmed-timeout", "a0 o1 a20", ""},
+    {"two-timeouts", "a0 o10 O15 a20 o30 O35 a60", "a20 a60"},
     {"two-flows-at-once", "a0 b1 o10 O15 a20 b21", "a20"},
-    {"two-flows-a-while-apart", "a0 b1 o10 O15 a20 b41", "a20 b41"},
-    {"answered-after-all", "a0 o10 O15 a20 A22", "a20 -A22"},
-    {"answered-twice", "a0 o10 O15 a20 A22 A23", "a20 -A22"},
-    {"answered-meanwhile", "a0 b1 o10 O15 B16 a20", ""},
+    {"two-flows-apart", "a0 b1 o10 O15 a20 b41", "a20 b41"},
+    {"late-answer", "a0 o10 O15 a20 A22", "a20 -A22"},
+    {"late-answer-twice", "a0 o10 O15 a20 A22 A23", "a20 -A22"},
+    {"other-flow-answered", "a0 b1 o10 O15 B16 a20", ""},
     {"silent-already", "a0 s5 o10 O15 a20", "a20"},
     {"lost-already", "a0 L5 o10 O15 a20", ""},
     {"silent-and-answers", "a0 s5 A10", "-A10"},
     {"silent-and-answers-often", "a0 s5 A10 b11 B12 a60 A70", "-A10 -A70"},
-    {"waits-here", "a0 w0 o10 O15 a20", ""},
-    {"waited-and-left-lately", "a0 w0 o10 l10 O15 a20", ""},
-    {"waited-and-left", "a0 w0 l1 o10 O15 a20", "a20"},
-    {"one-of-two-waits-still", "a0 w0 w0 l1 o10 O15 a20", ""},
-    {"waited-and-dropped-its-copy-not", "a0 w0 v1 a20 o30 O35 a60", "a60"},
-    {"dropped-here", "a0 u0 o10 O15 a20", ""},
-    {"dropped-here-its-copy-not", "a0 u0 a20 o30 O35 a60", "a60"},
-    {"hole-behind-it", "a0 h1 o10 O15 a20", ""},
-    {"hole-behind-it-still", "a0 h1 o10 O15 a20 o30 O35 a60", ""},
-    {"hole-filled", "a0 h1 i2 o10 O15 a20", "a20"},
-    {"hole-filled-lately", "a0 h1 i10 o11 O15 a20", ""},
-    {"hole-and-answered", "a0 h1 A5 a30 o40 O45 a50", "a50"},
-    {"stood-still", "a0 z5 o10 O15 a20", ""},
-    {"stood-still-long-ago", "z0 a200 o210 O215 a220", "a220"},
+    {"queued", "a0 w0 o10 O15 a20", ""},
+    {"queued-and-just-sent", "a0 w0 o10 l10 O15 a20", ""},
+    {"queued-and-sent", "a0 w0 l1 o10 O15 a20", "a20"},
+    {"one-of-two-queued", "a0 w0 w0 l1 o10 O15 a20", ""},
+    {"queued-dropped-retransmission-sent", "a0 w0 v1 a20 o30 O35 a60", "a60"},
+    {"dropped", "a0 u0 o10 O15 a20", ""},
+    {"dropped-retransmission-sent", "a0 u0 a20 o30 O35 a60", "a60"},
+    {"data-behind-a-gap", "a0 h1 o10 O15 a20", ""},
+    {"data-behind-a-gap-remains", "a0 h1 o10 O15 a20 o30 O35 a60", ""},
+    {"gap-filled", "a0 h1 i2 o10 O15 a20", "a20"},
+    {"gap-just-filled", "a0 h1 i10 o11 O15 a20", ""},
+    {"gap-and-answered", "a0 h1 A5 a30 o40 O45 a50", "a50"},
+    {"stalled", "a0 z5 o10 O15 a20", ""},
+    {"stalled-long-ago", "z0 a200 o210 O215 a220", "a220"},
 };
 
-/* Plays the steps of one case. */
+/* A suspicion must be reported for data that the upstream did not answer, and
+ * not for data that this node, its link or the caller lost or delayed. */
 static void
-test_doubt(const void *data)
+test_suspicion(const void *data)
 {
-    const struct doubt_case *c = data;
+    const struct suspicion_case *c = data;
     gchar **steps = g_strsplit(c->steps, " ", -1);
-    GString *told = g_string_new("");
+    GString *reports = g_string_new("");
     uint32_t acknowledged[256] = {0};
     struct fixture f;
     GArray *list;
 
     fixture_open(&f, 2);
     list = f.upstreams.suspicions;
-    /* Upstreams that answer: one of many in doubt is not this node's link. */
+    /* Other upstreams answer, so this node's own link is not suspected. */
     for (uint64_t id = 3; id <= 8; id++) {
         fixture_register(&f, NOW, id, 1, false);
     }
@@ -385,7 +382,7 @@
         for (uint64_t id = 3; id <= 8; id++) {
             upstream_by_id(&f.upstreams, id)->last_progress_at = now;
         }
-        if (!play_event(&f, now, (*at)[0])) {
+        if (!apply_event(&f, now, (*at)[0])) {
             struct evidence_packet packet =
                 packet_of_step((*at)[0], acknowledged);
             struct evidence_verdict verdict;
@@ -397,23 +394,24 @@
                 &g_array_index(list, struct upstream_suspicion, i);
 
             g_assert_cmpuint(d->id, ==, 1);
-            g_string_append_printf(told, "%s%s%s", told->len ? " " : "",
+            g_string_append_printf(reports, "%s%s%s", reports->len ? " " : "",
                                    d->quiet_ms == 0 ? "-" : "", *at);
         }
         g_array_set_size(list, 0);
     }
-    g_assert_cmpstr(told->str, ==, c->told);
-    g_string_free(told, TRUE);
+    g_assert_cmpstr(reports->str, ==, c->reports);
+    g_string_free(reports, TRUE);
     g_strfreev(steps);
     fixture_close(&f);
 }
 
-/* A node that lacks answers of many upstreams at once doubts itself. */
+/* A node whose own link fails, so that many upstreams leave data unanswered at
+ * once, must report none of them. */
 static void
-test_doubt_itself(void)
+test_own_link_fails(void)
 {
     struct fixture f;
-    guint told = 0;
+    guint reports = 0;
 
     fixture_open(&f, 12);
     for (uint64_t id = 2; id <= 12; id++) {
@@ -428,20 +426,21 @@
         f.ev.answered_sent_at = NOW + 100;
         upstream_by_id(&f.upstreams, 1)->last_progress_at = now;
         evidence_steer(&f.ev, now, &packet, &verdict);
-        told = f.upstreams.suspicions->len;
+        reports = f.upstreams.suspicions->len;
     }
-    g_assert_cmpuint(told, ==, 0);
+    g_assert_cmpuint(reports, ==, 0);
     fixture_close(&f);
 }
 
-/* Plays the steps of one case. */
+/* An open flow must be reset when its upstream is lost, and must stay when the
+ * upstream answers or only seems lost. */
 static void
 test_lost(const void *data)
 {
     const struct lost_case *c = data;
     gchar **steps = g_strsplit(c->steps, " ", -1);
-    GString *lost = g_string_new("");
-    uint32_t acknowledged[256] = {0}; /* by the letter of the flow */
+    GString *reset = g_string_new("");
+    uint32_t acknowledged[256] = {0}; /* by letter of the flow */
     struct fixture f;
 
     fixture_open(&f, 2);
@@ -451,7 +450,7 @@
         struct evidence_packet packet;
         struct evidence_verdict verdict;
 
-        if (play_event(&f, now, letter)) {
+        if (apply_event(&f, now, letter)) {
             continue;
         }
         packet = packet_of_step(letter, acknowledged);
@@ -459,57 +458,56 @@
         if (verdict.action == EVIDENCE_REFUSE) {
             g_assert_cmpint(verdict.rule, ==, RULE_UPSTREAM_LOST);
             g_assert_cmpuint(verdict.upstream->id, ==, 1);
-            g_string_append_printf(lost, "%s%s", lost->len ? " " : "", *at);
+            g_string_append_printf(reset, "%s%s", reset->len ? " " : "", *at);
         }
     }
-    g_assert_cmpstr(lost->str, ==, c->lost);
-    g_string_free(lost, TRUE);
+    g_assert_cmpstr(reset->str, ==, c->reset);
+    g_string_free(reset, TRUE);
     g_strfreev(steps);
     fixture_close(&f);
 }
 
-/* What is left out, and a test above that must fail then. */
 static const struct mutation mutations[] = {
-    {"last-resort", FAULT_NO_FALLBACK, "/evidence/steer/first-all-silent"},
-    {"suspicion", FAULT_NO_SUSPICION, "/evidence/copy/first-copy"},
-    {"move", FAULT_NO_REROUTE, "/evidence/copy/first-copy"},
-    {"doubt", FAULT_NO_SUSPICION_REPORT, "/evidence/doubt/proved"},
-    {"waits", FAULT_COUNT_QUEUED_AS_SENT, "/evidence/doubt/waits-here"},
-    {"order", FAULT_IGNORE_GAPS, "/evidence/doubt/hole-behind-it"},
-    {"lost", FAULT_KEEP_LOST_FLOWS, "/evidence/lost/proved-twice"},
+    {"fallback", FAULT_NO_FALLBACK, "/evidence/steer/first-all-silent"},
+    {"suspicion", FAULT_NO_SUSPICION, "/evidence/retransmission/first"},
+    {"reroute", FAULT_NO_REROUTE, "/evidence/retransmission/first"},
+    {"suspicion-report", FAULT_NO_SUSPICION_REPORT,
+     "/evidence/suspicion/timeout"},
+    {"queued", FAULT_COUNT_QUEUED_AS_SENT, "/evidence/suspicion/queued"},
+    {"gap", FAULT_IGNORE_GAPS, "/evidence/suspicion/data-behind-a-gap"},
+    {"lost", FAULT_KEEP_LOST_FLOWS, "/evidence/lost/two-timeouts"},
 };
 
-/* A decision about a flow, and what recomputing it shows. */
+/* A recorded decision and the result of its verification. */
 struct proof_case {
     const char *name;
     enum ring_rule rule;
-    uint64_t version;    /* the table held is 7 */
-    uint16_t port;       /* a route is at 443 */
-    const char *service; /* that was recorded */
+    uint64_t version;    /* of the record; the entry has table 7 */
+    uint16_t port;       /* 443 has a route */
+    const char *service; /* of the record */
     uint64_t upstream;   /* 1 serves "feed", 2 "copies", 3 is unknown */
     enum evidence_proof proof;
 };
 
 static const struct proof_case proofs[] = {
-    {"placed", RULE_LEAST_WORK, 7, 443, "feed", 1, EVIDENCE_PROVED},
-    {"moved", RULE_REROUTED, 7, 443, "feed", 1, EVIDENCE_PROVED},
+    {"assigned", RULE_LEAST_WORK, 7, 443, "feed", 1, EVIDENCE_PROVED},
+    {"rerouted", RULE_REROUTED, 7, 443, "feed", 1, EVIDENCE_PROVED},
     {"upstream-forgotten", RULE_LEAST_WORK, 7, 443, "feed", 3,
      EVIDENCE_PROVED},
     {"other-service", RULE_LEAST_WORK, 7, 443, "copies", 2,
      EVIDENCE_DISPROVED},
     {"upstream-of-another-service", RULE_RETRANSMISSION, 7, 443, "feed", 2,
      EVIDENCE_DISPROVED},
-    {"same-again-though-the-route-changed", RULE_RETRANSMISSION, 7, 443,
+    {"retransmission-after-route-change", RULE_RETRANSMISSION, 7, 443,
      "copies", 2, EVIDENCE_PROVED},
     {"no-such-route", RULE_LEAST_WORK, 7, 80, "feed", 1, EVIDENCE_DISPROVED},
     {"older-table", RULE_LEAST_WORK, 6, 443, "feed", 1, EVIDENCE_OTHER_TABLE},
     {"refused", RULE_NO_ROUTE, 7, 80, "", 0, EVIDENCE_PROVED},
-    {"refused-though-routed", RULE_NO_ROUTE, 7, 443, "", 0,
-     EVIDENCE_DISPROVED},
+    {"refused-with-a-route", RULE_NO_ROUTE, 7, 443, "", 0, EVIDENCE_DISPROVED},
     {"lost", RULE_UPSTREAM_LOST, 7, 443, "feed", 1, EVIDENCE_NO_PROOF},
 };
 
-/* Recomputes one decision. */
+/* Verification must accept every correct decision and no wrong one. */
 static void
 test_proof(const void *data)
 {
@@ -547,19 +545,19 @@
     route_free(table);
 }
 
-/* Lists the tests. */
 int
 main(int argc, char **argv)
 {
     char path[128];
 
-    mutation_begin();
+    mutation_init();
     g_test_init(&argc, &argv, NULL);
     g_test_set_nonfatal_assertions();
     CASES_ADD("/evidence/steer/", steers, test_steer)
-    CASES_ADD("/evidence/copy/", copies, test_copy)
-    CASES_ADD("/evidence/doubt/", doubts, test_doubt)
-    g_test_add_func("/evidence/doubt/itself", test_doubt_itself);
+    CASES_ADD("/evidence/retransmission/", retransmissions,
+              test_retransmission)
+    CASES_ADD("/evidence/suspicion/", suspicions, test_suspicion)
+    g_test_add_func("/evidence/suspicion/own-link", test_own_link_fails);
     CASES_ADD("/evidence/lost/", losts, test_lost)
     CASES_ADD("/evidence/proof/", proofs, test_proof)
     CASES_ADD("/evidence/mutation/", mutations, mutation_test)
--- a/tests/test-founding.c
+++ b/tests/test-founding.c
@@ -104,7 +104,7 @@
 {
     char path[128];
 
-    mutation_begin();
+    mutation_init();
     g_test_init(&argc, &argv, NULL);
     g_test_set_nonfatal_assertions();
     CASES_ADD("/founding/", cuts, test_cut)
--- a/tests/test-hall.c
+++ b/tests/test-hall.c
@@ -1,8 +1,7 @@
 /*
- * Data halls that operators empty: which names are one's, what orders make of
- * the list, which of two lists holds, that new flows keep away, and that data
- * of the release before, which knew no such orders, is still read. Tables of
- * cases.
+ * Draining of data halls: names, the list of drained halls and its revisions,
+ * steering away from them, and durability of orders in the replicated log,
+ * with data folders of a release without such orders.
  */
 #include <glib.h>
 #include <stdio.h>
@@ -18,12 +17,11 @@
 #include "sim-disk.h"
 #include "store.h"
 
-#define OLD_REPLICA 0x7f000901U /* 127.0.9.1, of the folder that is kept */
-#define OLD_VERSION 73U         /* of the last table in it */
+#define OLD_REPLICA 0x7f000901U /* 127.0.9.1, replica of OLD_FOLDER */
+#define OLD_VERSION 73U         /* of the last table in OLD_FOLDER */
 #define OLD_FOLDER "tests/formats/relays"
-#define COPY_MS 100 /* so soon a copy goes the way of the first packet */
+#define RETRANSMIT_MS 100 /* too soon for a reroute */
 
-/* Names. */
 struct name_case {
     const char *name;
     const char *text;
@@ -48,7 +46,6 @@
     {"not-ascii", "ces\xc3\xa9", false},
 };
 
-/* Checks one name. */
 static void
 test_name(const void *data)
 {
@@ -57,30 +54,29 @@
     g_assert_cmpint(hall_is_name(c->text), ==, c->is_hall);
 }
 
-/* Orders, one an entry from index 10 on: a letter names the hall, a capital
- * one takes it back. */
+/* Orders in log entries from index 10 on: a letter drains the hall of that
+ * name, its capital undrains it. */
 struct apply_case {
     const char *name;
     const char *orders;
-    const char *emptied; /* at the end, in order */
+    const char *drained; /* at the end, in order */
     uint64_t revision;
 };
 
 static const struct apply_case applies[] = {
     {"none", "", "", 0},
     {"one", "a", "a", 10},
-    {"sent-again", "aaa", "a", 10},
-    {"taken-back", "aA", "", 11},
-    {"taken-back-again", "aAA", "", 11},
-    {"taken-back-never-emptied", "A", "", 0},
+    {"repeated", "aaa", "a", 10},
+    {"undrained", "aA", "", 11},
+    {"undrain-repeated", "aAA", "", 11},
+    {"undrain-of-undrained", "A", "", 0},
     {"two", "ab", "ab", 11},
-    {"first-of-two-back", "abA", "b", 12},
-    {"emptied-once-more", "abAa", "ba", 13},
-    {"as-many-as-there-is-room", "abcdefghijklmnop", "abcdefghijklmnop", 25},
+    {"first-of-two-undrained", "abA", "b", 12},
+    {"drained-again", "abAa", "ba", 13},
+    {"full", "abcdefghijklmnop", "abcdefghijklmnop", 25},
     {"one-too-many", "abcdefghijklmnopq", "abcdefghijklmnop", 25},
 };
 
-/* Applies orders. */
 static void
 apply(struct hall_set *set, const char *orders)
 {
@@ -93,13 +89,12 @@
     }
 }
 
-/* Checks which halls are emptied. */
 static void
-check_emptied(const struct hall_set *set, const char *emptied)
+check_drained(const struct hall_set *set, const char *drained)
 {
-    g_assert_cmpuint(set->count, ==, strlen(emptied));
+    g_assert_cmpuint(set->count, ==, strlen(drained));
     for (size_t i = 0; i < set->count; i++) {
-        char name[2] = {emptied[i], '\0'};
+        char name[2] = {drained[i], '\0'};
 
         g_assert_cmpstr(set->all[i].name, ==, name);
         g_assert_true(hall_is_drained(set, set->all[i].name));
@@ -107,7 +102,7 @@
     g_assert_false(hall_is_drained(set, "elsewhere"));
 }
 
-/* Plays one case. */
+/* Replicas must reach the same list and revision from the same log. */
 static void
 test_apply(const void *data)
 {
@@ -115,50 +110,50 @@
     struct hall_set set = {0};
 
     apply(&set, c->orders);
-    check_emptied(&set, c->emptied);
+    check_drained(&set, c->drained);
     g_assert_cmpuint(set.revision, ==, c->revision);
 }
 
-/* A node that holds one list is told another. */
-struct take_case {
+/* A node receives a list of drained halls. */
+struct update_case {
     const char *name;
-    const char *held; /* orders */
-    const char *told; /* orders */
-    const char *emptied;
+    const char *current;  /* orders */
+    const char *received; /* orders */
+    const char *drained;  /* afterwards */
 };
 
-static const struct take_case takes[] = {
+static const struct update_case updates[] = {
     {"first", "", "a", "a"},
     {"newer", "a", "ab", "ab"},
-    {"withdrawal-after-its-order", "a", "aA", ""},
-    {"withdrawal-overtaken-by-its-order", "aA", "a", ""},
+    {"undrain-after-drain", "a", "aA", ""},
+    {"drain-arrives-after-undrain", "aA", "a", ""},
     {"older", "abc", "a", "abc"},
-    {"the-same", "ab", "ab", "ab"},
-    {"nothing-known-there", "a", "", "a"},
+    {"same", "ab", "ab", "ab"},
+    {"received-empty", "a", "", "a"},
 };
 
-/* Plays one case. */
+/* An older list must not replace a newer one. */
 static void
-test_take(const void *data)
+test_update(const void *data)
 {
-    const struct take_case *c = data;
-    struct hall_set held = {0};
-    struct hall_set told = {0};
+    const struct update_case *c = data;
+    struct hall_set current = {0};
+    struct hall_set received = {0};
     wire_hall room[HALL_MAX];
     wire_halls packed;
     bool is_newer;
 
-    apply(&held, c->held);
-    apply(&told, c->told);
-    hall_pack(&told, room, &packed);
-    is_newer = told.revision > held.revision;
-    g_assert_cmpint(hall_update(&held, &packed), ==, is_newer);
-    check_emptied(&held, c->emptied);
+    apply(&current, c->current);
+    apply(&received, c->received);
+    hall_pack(&received, room, &packed);
+    is_newer = received.revision > current.revision;
+    g_assert_cmpint(hall_update(&current, &packed), ==, is_newer);
+    check_drained(&current, c->drained);
 }
 
-/* Empties halls, each named by its letter, at an entry. */
+/* Sets the drained halls of an entry to the result of orders. */
 static void
-empty(struct fixture *f, const char *orders)
+drain(struct fixture *f, const char *orders)
 {
     struct hall_set set = {0};
     wire_hall room[HALL_MAX];
@@ -169,33 +164,34 @@
     (void)upstream_drain_halls(&f->upstreams, NOW, &packed);
 }
 
-/* New flows and copies of a first packet. Upstream 1 is in hall "a", upstream
- * 2 in "b". */
+/* A first packet and a second one. Upstream 1 is in hall "a", upstream 2 in
+ * hall "b". */
 struct flow_case {
     const char *name;
     const char *before;  /* orders before the first packet */
-    const char *between; /* orders between it and its copy */
-    bool in_use;         /* the flow is open, and a packet of it comes */
+    const char *between; /* orders between the packets */
+    bool is_open;        /* the second is of the open flow, else retransmits */
     uint64_t first;      /* upstream of the first packet, 0: refused */
-    uint64_t second;     /* of the copy, or of the packet */
-    enum ring_rule rule; /* of the first */
-    uint32_t emptied;    /* passed over by the first */
+    uint64_t second;     /* upstream of the second packet */
+    enum ring_rule rule; /* of the first packet */
+    uint32_t drained;    /* upstreams in drained halls for the first packet */
 };
 
 static const struct flow_case flows[] = {
-    {"none-emptied", "", "", false, 1, 1, RULE_LEAST_WORK, 0},
+    {"none", "", "", false, 1, 1, RULE_LEAST_WORK, 0},
     {"first-hall", "a", "", false, 2, 2, RULE_LEAST_WORK, 1},
     {"second-hall", "b", "", false, 1, 1, RULE_LEAST_WORK, 1},
     {"both", "ab", "", false, 0, 0, RULE_HALLS_DRAINED, 2},
-    {"another-one", "c", "", false, 1, 1, RULE_LEAST_WORK, 0},
-    {"taken-back", "aA", "", false, 1, 1, RULE_LEAST_WORK, 0},
-    {"copy-leaves-the-hall", "", "a", false, 1, 2, RULE_LEAST_WORK, 0},
-    {"open-flow-stays", "", "a", true, 1, 1, RULE_LEAST_WORK, 0},
-    {"open-flow-stays-when-both-are", "", "ab", true, 1, 1, RULE_LEAST_WORK,
+    {"other-hall", "c", "", false, 1, 1, RULE_LEAST_WORK, 0},
+    {"undrained", "aA", "", false, 1, 1, RULE_LEAST_WORK, 0},
+    {"retransmission-leaves-the-hall", "", "a", false, 1, 2, RULE_LEAST_WORK,
      0},
+    {"open-flow-stays", "", "a", true, 1, 1, RULE_LEAST_WORK, 0},
+    {"open-flow-stays-with-both-drained", "", "ab", true, 1, 1,
+     RULE_LEAST_WORK, 0},
 };
 
-/* Plays one case. */
+/* New flows must avoid drained halls; open flows must stay. */
 static void
 test_flow(const void *data)
 {
@@ -208,27 +204,26 @@
     g_strlcpy(upstream_by_id(&f.upstreams, 1)->hall, "a", HALL_NAME_MAX);
     g_strlcpy(upstream_by_id(&f.upstreams, 2)->hall, "b", HALL_NAME_MAX);
     upstream_by_id(&f.upstreams, 2)->open = 1;
-    empty(&f, c->before);
+    drain(&f, c->before);
     evidence_steer(&f.ev, NOW, &packet, &verdict);
     g_assert_cmpint(verdict.rule, ==, c->rule);
-    g_assert_cmpuint(verdict.drained, ==, c->emptied);
+    g_assert_cmpuint(verdict.drained, ==, c->drained);
     g_assert_cmpint(verdict.action, ==,
                     c->first != 0 ? EVIDENCE_FORWARD : EVIDENCE_REFUSE);
     if (c->first != 0) {
         g_assert_cmpuint(verdict.upstream->id, ==, c->first);
-        empty(&f, c->between);
-        packet = fixture_packet(7, !c->in_use,
-                                c->in_use ? upstream_token(c->first) : 0, 1);
-        evidence_steer(&f.ev, NOW + COPY_MS, &packet, &verdict);
+        drain(&f, c->between);
+        packet = fixture_packet(7, !c->is_open,
+                                c->is_open ? upstream_token(c->first) : 0, 1);
+        evidence_steer(&f.ev, NOW + RETRANSMIT_MS, &packet, &verdict);
         g_assert_cmpuint(verdict.upstream->id, ==, c->second);
     }
     fixture_close(&f);
 }
 
-/* An upstream that registers in an emptied hall is known as such, whoever told
- * of it. */
+/* An upstream merged from another node into a drained hall must be drained. */
 static void
-test_registers_there(void)
+test_merge_in_drained_hall(void)
 {
     wire_upstream record = {.id = 9,
                             .sequence = 1,
@@ -240,68 +235,67 @@
     struct fixture f;
 
     fixture_open(&f, 0);
-    empty(&f, "a");
+    drain(&f, "a");
     g_assert_true(upstream_merge(&f.upstreams, NOW, &record));
     g_assert_true(upstream_by_id(&f.upstreams, 9)->drained);
     fixture_close(&f);
 }
 
-/* Upstreams of a hall that is taken back count as cold for as long as their
- * service says, also when a registration that was sent before says otherwise;
- * and that is what other nodes are told. */
+/* Upstreams of an undrained hall must warm up for the time of their service,
+ * and be announced so to other nodes. */
 static void
-test_back(void)
+test_undrain(void)
 {
     static const struct warmup_limit limit = {.warmup_ms = 2000};
     const struct upstream *one;
-    wire_upstream told;
+    wire_upstream record;
     struct fixture f;
 
     fixture_open(&f, 2);
     one = upstream_by_id(&f.upstreams, 1);
     upstream_set_warmup_limit(&f.upstreams, one->service, &limit);
-    empty(&f, "h");
+    drain(&f, "h");
     g_strlcpy(upstream_by_id(&f.upstreams, 1)->hall, "h", HALL_NAME_MAX);
-    empty(&f, "hh");
+    drain(&f, "hh");
     g_assert_false(upstream_is_warming_up(one, NOW));
-    empty(&f, "ha");
+    drain(&f, "ha");
     g_assert_true(one->drained);
-    empty(&f, "haH");
+    drain(&f, "haH");
     g_assert_false(one->drained);
     g_assert_true(upstream_is_warming_up(one, NOW));
     g_assert_true(upstream_is_warming_up(one, NOW + 1999));
     g_assert_false(upstream_is_warming_up(one, NOW + 2000));
     g_assert_false(
         upstream_is_warming_up(upstream_by_id(&f.upstreams, 2), NOW + 1));
-    upstream_pack(&f.upstreams, NOW + 500, one, &told);
-    g_assert_cmpuint(told.warm_ms, ==, 1500);
+    upstream_pack(&f.upstreams, NOW + 500, one, &record);
+    g_assert_cmpuint(record.warm_ms, ==, 1500);
     fixture_close(&f);
 }
 
-/* A decision that is recomputed when halls are emptied. */
+/* A recorded decision with drained halls and the result of its verification.
+ */
 struct verify_case {
     const char *name;
     enum ring_rule rule;
-    const char *then;       /* orders when it was made */
-    const char *now;        /* orders now */
-    uint64_t chosen;        /* 0: none */
-    enum evidence_proof is; /* the proof */
+    const char *then; /* orders at the decision */
+    const char *now;  /* orders at the verification */
+    uint64_t chosen;  /* 0: none */
+    enum evidence_proof proof;
 };
 
 static const struct verify_case verifies[] = {
     {"open-hall", RULE_LEAST_WORK, "b", "b", 1, EVIDENCE_PROVED},
-    {"emptied-hall", RULE_LEAST_WORK, "a", "a", 1, EVIDENCE_DISPROVED},
-    {"emptied-since", RULE_LEAST_WORK, "", "a", 1, EVIDENCE_PROVED},
-    {"moved-off-to-an-emptied-hall", RULE_REROUTED, "a", "a", 1,
+    {"drained-hall", RULE_LEAST_WORK, "a", "a", 1, EVIDENCE_DISPROVED},
+    {"drained-since", RULE_LEAST_WORK, "", "a", 1, EVIDENCE_PROVED},
+    {"rerouted-to-a-drained-hall", RULE_REROUTED, "a", "a", 1,
      EVIDENCE_DISPROVED},
     {"refused", RULE_HALLS_DRAINED, "ab", "ab", 0, EVIDENCE_PROVED},
     {"refused-though-open", RULE_HALLS_DRAINED, "c", "c", 0,
      EVIDENCE_DISPROVED},
-    {"refused-and-taken-back", RULE_HALLS_DRAINED, "ab", "abA", 0,
+    {"refused-and-undrained", RULE_HALLS_DRAINED, "ab", "abA", 0,
      EVIDENCE_OTHER_HALLS},
 };
 
-/* Recomputes one decision. */
 static void
 test_verify(const void *data)
 {
@@ -320,13 +314,13 @@
     fixture_open(&f, 2);
     g_strlcpy(upstream_by_id(&f.upstreams, 1)->hall, "a", HALL_NAME_MAX);
     g_strlcpy(upstream_by_id(&f.upstreams, 2)->hall, "b", HALL_NAME_MAX);
-    empty(&f, c->now);
+    drain(&f, c->now);
     g_assert_cmpint(evidence_verify(f.ev.table, &f.upstreams, &record), ==,
-                    c->is);
+                    c->proof);
     fixture_close(&f);
 }
 
-/* Copies the folder that is kept, so that opening it changes nothing there. */
+/* Copies OLD_FOLDER, so that the test does not change it. */
 static char *
 copy_folder(void)
 {
@@ -348,8 +342,8 @@
     return path;
 }
 
-/* A data folder of the release before is read: its snapshot, and the entries
- * after it. Orders go on from there, and a snapshot with halls is read too. */
+/* A data folder of a release without orders must load, snapshot and log, and
+ * accept orders. */
 static void
 test_old_folder(void)
 {
@@ -378,7 +372,8 @@
     g_free(path);
 }
 
-/* A log that is made a snapshot keeps the table and the halls. */
+/* A snapshot must hold the table and the drained halls of the log that it
+ * replaces. */
 static void
 test_snapshot(void)
 {
@@ -413,10 +408,9 @@
     replica_close(&next);
 }
 
-/* Operators who empty more halls than there is room for are refused; those who
- * take one back, or send an order again, are not. */
+/* An order beyond HALL_MAX must be refused; a repeated one must not. */
 static void
-test_room(void)
+test_full(void)
 {
     struct counters counters = {{0}};
     struct replica voter;
@@ -442,32 +436,30 @@
     replica_close(&voter);
 }
 
-/* What is left out, and a test above that must fail then. */
 static const struct mutation mutations[] = {
-    {"ordered", FAULT_HALLS_UNVERSIONED,
-     "/hall/take/withdrawal-overtaken-by-its-order"},
-    {"logged", FAULT_HALLS_UNLOGGED, "/hall/snapshot"},
-    {"kept-away", FAULT_HALLS_IGNORED, "/hall/flow/first-hall"},
+    {"revision", FAULT_HALLS_UNVERSIONED,
+     "/hall/update/drain-arrives-after-undrain"},
+    {"log", FAULT_HALLS_UNLOGGED, "/hall/snapshot"},
+    {"steering", FAULT_HALLS_IGNORED, "/hall/flow/first-hall"},
 };
 
-/* Lists the tests. */
 int
 main(int argc, char **argv)
 {
     char path[128];
 
-    mutation_begin();
+    mutation_init();
     g_test_init(&argc, &argv, NULL);
     CASES_ADD("/hall/name/", names, test_name)
     CASES_ADD("/hall/apply/", applies, test_apply)
-    CASES_ADD("/hall/take/", takes, test_take)
+    CASES_ADD("/hall/update/", updates, test_update)
     CASES_ADD("/hall/flow/", flows, test_flow)
     CASES_ADD("/hall/verify/", verifies, test_verify)
-    g_test_add_func("/hall/registers-there", test_registers_there);
-    g_test_add_func("/hall/back", test_back);
+    g_test_add_func("/hall/merge", test_merge_in_drained_hall);
+    g_test_add_func("/hall/undrain", test_undrain);
     g_test_add_func("/hall/old-folder", test_old_folder);
     g_test_add_func("/hall/snapshot", test_snapshot);
-    g_test_add_func("/hall/room", test_room);
+    g_test_add_func("/hall/full", test_full);
     CASES_ADD("/hall/mutation/", mutations, mutation_test)
     return g_test_run();
 }
--- a/tests/test-inventory.c
+++ b/tests/test-inventory.c
@@ -282,7 +282,7 @@
 {
     char path[128];
 
-    mutation_begin();
+    mutation_init();
     g_test_init(&argc, &argv, NULL);
     CASES_ADD("/fleet/upstream/", knowns, test_known)
     g_test_add_data_func("/fleet/upstream/leaving-push-lost", NULL,
--- a/tests/test-platform.c
+++ b/tests/test-platform.c
@@ -1,5 +1,6 @@
 /*
- * What the platform's bytes and JSON are read as. Tables of cases.
+ * Parsers of the platform's packet headers, routing tables and registrations:
+ * each must accept valid input and reject any other.
  */
 #include <glib.h>
 #include <string.h>
@@ -8,7 +9,7 @@
 #include "codec.h"
 #include "platform/platform.h"
 
-/* The example of the platform's pages, and heads that are none. */
+/* Header of the platform's documentation, and the reset that answers it. */
 static const uint8_t example[] = {
     0xd5, 0xc3, 0xb2, 0xa1, 0x41, 0x9c, 0x01, 0x00, 0x12, 0xc6, 0x07, 0x00,
     0x40, 0x64, 0xbb, 0x01, 0x00, 0x00, 0x00, 0x00, 0x44, 0x33, 0x22, 0x11,
@@ -18,7 +19,7 @@
     0x12, 0xc6, 0x41, 0x9c, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00,
     0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x20, 0x00, 0x00, 0x00, 0x00, 0x00};
 
-/* Reads the example and answers it. */
+/* A header must be read exactly, and rejected when shortened. */
 static void
 test_packet(void)
 {
@@ -46,19 +47,19 @@
     g_assert_false(platform_read_packet(copy, sizeof(copy), &packet));
 }
 
-/* Documents of routing tables. */
+/* Routing tables. */
 struct table_case {
     const char *name;
     const char *routes;
-    const char *rest; /* replaces version, services and limits */
+    const char *rest; /* members besides "routes" */
     bool valid;
 };
 
 #define REST                                                                  \
     "\"version\":7,\"services\":[{\"name\":\"a\"},{\"name\":\"b\"}],"         \
     "\"limits\":{\"idle_timeout_ms\":15000}"
-#define ROUTE(place, service)                                                 \
-    "{\"name\":\"r\",\"hostname\":\"198.18.0.1\",\"path_prefix\":\"" place    \
+#define ROUTE(prefix, service)                                                \
+    "{\"name\":\"r\",\"hostname\":\"198.18.0.1\",\"path_prefix\":\"" prefix   \
     "\",\"kind\":\"safe\",\"timeout_ms\":5," service "}"
 
 static const struct table_case tables[] = {
@@ -79,7 +80,7 @@
      REST, false},
     {"weight-missing",
      ROUTE("/8080/", "\"traffic_split\":[{\"service\":\"a\"}]"), REST, false},
-    {"same-place",
+    {"same-endpoint",
      ROUTE("/8080/", "\"service\":\"a\"") "," ROUTE("/8080/",
                                                     "\"service\":\"b\""),
      REST, false},
@@ -116,7 +117,7 @@
     {"services-missing", "", "\"version\":7", false},
 };
 
-/* Reads one document, and each of its beginnings, which is none. */
+/* A valid table must load, and each of its prefixes must be rejected. */
 static void
 test_table(const void *data)
 {
@@ -449,7 +450,7 @@
      "2,\"state\":\"ready\",\"sequence\":4,\"rack\":{\"row\":[1,2]},\"note\":"
      "\"x\"}",
      true},
-    {"service-nobody-named", "i-1",
+    {"service-without-route", "i-1",
      "{\"service\":\"other\",\"address\":\"10.0.0.9:80\",\"zone\":\"z\","
      "\"slots\":2,\"state\":\"ready\",\"sequence\":4}",
      true},
@@ -487,40 +488,39 @@
      false},
 };
 
-/* Calls, and whether something is served there. */
-struct call_case {
+/* Requests to the platform's paths, and whether they are served. */
+struct request_case {
     const char *name;
     const char *method;
     const char *path;
     bool served;
 };
 
-static const struct call_case calls[] = {
+static const struct request_case requests[] = {
     {"readiness", "GET", "/-/readiness", true},
     {"register", "PUT", "/-/instances/i-7", true},
     {"deregister", "DELETE", "/-/instances/i-7", true},
     {"submit", "PUT", "/-/configuration", true},
     {"read", "GET", "/-/configuration", true},
-    {"empty-a-hall", "POST", "/-/evacuation/cesson", true},
-    {"take-a-hall-back", "DELETE", "/-/evacuation/cesson", true},
+    {"drain-a-hall", "POST", "/-/evacuation/cesson", true},
+    {"undrain-a-hall", "DELETE", "/-/evacuation/cesson", true},
     {"put-on-a-hall", "PUT", "/-/evacuation/cesson", false},
     {"post-a-table", "POST", "/-/configuration", false},
-    {"elsewhere", "GET", "/-/evacuations", false},
+    {"unknown-path", "GET", "/-/evacuations", false},
     {"root", "GET", "/", false},
 };
 
-/* Tells one call. */
 static void
-test_call(const void *data)
+test_request(const void *data)
 {
-    const struct call_case *c = data;
+    const struct request_case *c = data;
     const char *rest = "";
-    enum platform_request call = platform_classify(c->method, c->path, &rest);
+    enum platform_request request =
+        platform_classify(c->method, c->path, &rest);
 
-    g_assert_cmpint(call != PLATFORM_UNKNOWN, ==, c->served);
+    g_assert_cmpint(request != PLATFORM_UNKNOWN, ==, c->served);
 }
 
-/* Reads one registration. */
 static void
 test_registration(const void *data)
 {
@@ -537,7 +537,7 @@
     }
 }
 
-/* Bytes drawn by lot, and valid bytes with some changed, for each reader. */
+/* Valid input with random bytes replaced must not crash any parser. */
 static void
 test_fuzz(void)
 {
@@ -559,10 +559,10 @@
             bytes[g_rand_int_range(rand, 0, (gint32)length)] =
                 (char)g_rand_int_range(rand, 0, 256);
         }
-        uint64_t born;
+        uint64_t started_at;
 
         (void)platform_read_registration("i-1", bytes, length, &r, &st);
-        (void)platform_read_deregistration(bytes, length, &born, &st);
+        (void)platform_read_deregistration(bytes, length, &started_at, &st);
         route_free(platform_read_table(bytes, length, &st));
         (void)platform_read_packet((const uint8_t *)bytes, length, &packet);
         if (codec_decode(bytes, length / 4 * 4, &msg)) {
@@ -573,15 +573,15 @@
     g_rand_free(rand);
 }
 
-/* Bodies of an upstream's word that it ends. */
-struct end_case {
+/* Bodies of deregistrations. */
+struct deregistration_case {
     const char *name;
     const char *body;
     bool valid;
-    uint64_t born;
+    uint64_t started_at;
 };
 
-static const struct end_case ends[] = {
+static const struct deregistration_case deregistrations[] = {
     {"empty", "", true, 0},
     {"no-field", "{}", true, 0},
     {"unknown-field", "{\"why\":\"x\"}", true, 0},
@@ -593,23 +593,21 @@
     {"cut-short", "{\"born\":17", false, 0},
 };
 
-/* Reads one. */
 static void
-test_end(const void *data)
+test_deregistration(const void *data)
 {
-    const struct end_case *c = data;
+    const struct deregistration_case *c = data;
     struct status st = {STATUS_OK, ""};
-    uint64_t born;
-    enum status_kind kind =
-        platform_read_deregistration(c->body, strlen(c->body), &born, &st);
+    uint64_t started_at;
+    enum status_kind kind = platform_read_deregistration(
+        c->body, strlen(c->body), &started_at, &st);
 
     g_assert_cmpint(kind == STATUS_OK, ==, c->valid);
     if (c->valid) {
-        g_assert_cmpuint(born, ==, c->born);
+        g_assert_cmpuint(started_at, ==, c->started_at);
     }
 }
 
-/* Lists the tests. */
 int
 main(int argc, char **argv)
 {
@@ -618,9 +616,10 @@
     g_test_init(&argc, &argv, NULL);
     g_test_set_nonfatal_assertions();
     CASES_ADD("/platform/table/", tables, test_table)
-    CASES_ADD("/platform/call/", calls, test_call)
+    CASES_ADD("/platform/request/", requests, test_request)
     CASES_ADD("/platform/registration/", registrations, test_registration)
-    CASES_ADD("/platform/end/", ends, test_end)
+    CASES_ADD("/platform/deregistration/", deregistrations,
+              test_deregistration)
     g_test_add_func("/platform/packet", test_packet);
     g_test_add_func("/platform/fuzz", test_fuzz);
     return g_test_run();
--- a/tests/test-reach.c
+++ b/tests/test-reach.c
@@ -1,11 +1,7 @@
 /*
- * Data halls that this entry's packets do not reach, though a third hall does.
- *
- * The load: callers of one hall with long flows and new ones to upstreams of
- * three halls; links between two of them are cut for some seconds. Seen
- * before: no upstream turned silent, since nodes of its own hall heard it; 450
- * requests of 9,900 failed and 500 were late in 6 s, each after its caller's
- * whole budget, though nodes of the third hall reached both. Tables of cases.
+ * Failed links between two data halls: upstreams stay ready, since nodes of
+ * their own hall receive their registrations. An entry must suspect the hall,
+ * relay its open flows through a third hall, and keep new flows away.
  */
 #include <glib.h>
 #include <string.h>
@@ -19,47 +15,45 @@
 /* Upstreams 1 and 2 are in hall a, 3 and 4 in b, 5 and 6 in c. */
 #define UPSTREAMS 6
 
-/* What this entry sees. Each step is a letter, which upstream or hall, and the
+/* Events at this entry. Each step is a letter, an upstream or hall, and the
  * time in 10 ms:
  *   m  an upstream leaves a packet unanswered
- *   a  it answers one of an open flow
- *   o  a flow opens there whose first packet was sent 20 ms before
- *   h  a node of the hall answers
- *   z  this entry stood still
- * Then it is asked, 10 ms after the last step, of which halls packets take a
- * detour, from which new flows keep away, and by which one may go to b. */
+ *   a  an upstream answers on an open flow
+ *   o  a flow opens whose first packet was sent 20 ms before
+ *   h  a node of the hall answers a probe
+ *   z  this entry stalled
+ * The results hold 10 ms after the last step. */
 struct reach_case {
     const char *name;
     const char *steps;
-    const char *cut;
-    const char *avoided;
-    const char *by;
+    const char *suspected; /* halls whose flows are relayed */
+    const char *avoided;   /* halls without new flows */
+    const char *relays;    /* halls that may relay to hall b */
 };
 
 static const struct reach_case reaches[] = {
-    {"calm", "a10 a33 a51", "", "", ""},
-    {"one-missed", "a10 a30 a50 m35", "b", "b", "ac"},
-    {"no-other-answers", "m35", "b", "b", ""},
-    {"its-node-answers", "a10 m35 hb6", "", "", ""},
-    {"another-hall-answers", "m35 ha6", "b", "b", "a"},
-    {"other-halls-answered-long-ago", "a10 a50 m3100", "b", "b", ""},
-    {"asked-and-not-heard", "a10 a50 m35 m315", "b", "b", ""},
-    {"asked-and-heard", "a10 a50 m35 ha6 m315", "b", "b", "a"},
-    {"the-other-hall-is-doubted-too", "m35 ha6 m17", "ab", "ab", ""},
-    {"answers-by-detours-prove-nothing", "a10 m35 ha6 a38", "b", "b", "a"},
-    {"a-flow-opens-straight", "m35 o460", "", "", ""},
-    {"it-was-sent-before", "m35 o45", "b", "b", ""},
-    {"new-flows-try-again", "m35 ha6 ha60", "b", "", "a"},
-    {"and-keep-away-after-another-miss", "m35 ha6 m460 ha61", "b", "b", "a"},
-    {"proved-lately-is-not-doubted", "m35 hb6 m420", "", "", ""},
-    {"proved-long-ago-is", "m35 hb6 m470 ha71", "b", "b", "a"},
-    {"heard-by-chance-before", "hb1 m35", "b", "b", ""},
-    {"without-proof-for-long", "m35 a1600", "", "", ""},
-    {"after-a-standstill", "z1 m35", "", "", ""},
-    {"long-after-a-standstill", "z1 m3200", "b", "b", ""},
+    {"no-timeout", "a10 a33 a51", "", "", ""},
+    {"one-timeout", "a10 a30 a50 m35", "b", "b", "ac"},
+    {"no-relay", "m35", "b", "b", ""},
+    {"own-node-answers", "a10 m35 hb6", "", "", ""},
+    {"other-hall-answers", "m35 ha6", "b", "b", "a"},
+    {"old-answers-of-other-halls", "a10 a50 m3100", "b", "b", ""},
+    {"probe-unanswered", "a10 a50 m35 m315", "b", "b", ""},
+    {"probe-of-other-hall-answered", "a10 a50 m35 ha6 m315", "b", "b", "a"},
+    {"other-hall-suspected-too", "m35 ha6 m17", "ab", "ab", ""},
+    {"relayed-answers-are-ignored", "a10 m35 ha6 a38", "b", "b", "a"},
+    {"flow-opens-directly", "m35 o460", "", "", ""},
+    {"first-packet-sent-before-timeout", "m35 o45", "b", "b", ""},
+    {"new-flows-resume", "m35 ha6 ha60", "b", "", "a"},
+    {"avoided-after-another-timeout", "m35 ha6 m460 ha61", "b", "b", "a"},
+    {"recent-probe-clears", "m35 hb6 m420", "", "", ""},
+    {"old-probe-does-not-clear", "m35 hb6 m470 ha71", "b", "b", "a"},
+    {"answer-before-the-timeout", "hb1 m35", "b", "b", ""},
+    {"suspicion-expires", "m35 a1600", "", "", ""},
+    {"after-a-stall", "z1 m35", "", "", ""},
+    {"long-after-a-stall", "z1 m3200", "b", "b", ""},
 };
 
-/* Puts upstreams into halls. */
 static void
 set_halls(struct fixture *f)
 {
@@ -72,7 +66,6 @@
     }
 }
 
-/* Hash of a hall by its letter. */
 static uint32_t
 hall_by(char letter)
 {
@@ -81,16 +74,16 @@
     return (uint32_t)hash_name(name);
 }
 
-/* Plays one step; returns its time. */
+/* Applies one step; returns its time. */
 static uint64_t
-play_step(struct fixture *f, const char *step)
+apply_step(struct fixture *f, const char *step)
 {
-    bool of_hall = step[0] == 'h';
-    bool of_none = step[0] == 'z';
+    bool is_hall = step[0] == 'h';
+    bool is_stall = step[0] == 'z';
     uint64_t now =
-        NOW + 10 * g_ascii_strtoull(step + (of_none ? 1 : 2), NULL, 10);
+        NOW + 10 * g_ascii_strtoull(step + (is_stall ? 1 : 2), NULL, 10);
     const struct upstream *u =
-        of_hall || of_none
+        is_hall || is_stall
             ? NULL
             : upstream_by_id(&f->upstreams, (uint64_t)(step[1] - '0'));
 
@@ -114,47 +107,47 @@
     return now;
 }
 
-/* Plays one case. */
+/* A hall must be suspected after a timeout that its nodes do not disprove, and
+ * only halls that answer may relay to it. */
 static void
 test_reach(const void *data)
 {
     const struct reach_case *c = data;
     gchar **steps = g_strsplit(c->steps, " ", -1);
-    GString *cut = g_string_new("");
+    GString *suspected = g_string_new("");
     GString *avoided = g_string_new("");
-    GString *by = g_string_new("");
+    GString *relays = g_string_new("");
     uint64_t now = NOW;
     struct fixture f;
 
     fixture_open(&f, UPSTREAMS);
     set_halls(&f);
     for (gchar **at = steps; *at != NULL; at++) {
-        now = play_step(&f, *at);
+        now = apply_step(&f, *at);
     }
     now += 10;
     for (const char *hall = "abc"; *hall != '\0'; hall++) {
         if (evidence_hall_is_suspected(&f.ev, now, hall_by(*hall))) {
-            g_string_append_c(cut, *hall);
+            g_string_append_c(suspected, *hall);
         }
         if (evidence_hall_is_avoided(&f.ev, now, hall_by(*hall))) {
             g_string_append_c(avoided, *hall);
         }
         if (evidence_hall_is_suspected(&f.ev, now, hall_by('b')) &&
             evidence_may_relay(&f.ev, now, hall_by('b'), hall_by(*hall))) {
-            g_string_append_c(by, *hall);
+            g_string_append_c(relays, *hall);
         }
     }
-    g_assert_cmpstr(cut->str, ==, c->cut);
+    g_assert_cmpstr(suspected->str, ==, c->suspected);
     g_assert_cmpstr(avoided->str, ==, c->avoided);
-    g_assert_cmpstr(by->str, ==, c->by);
-    g_string_free(cut, TRUE);
+    g_assert_cmpstr(relays->str, ==, c->relays);
+    g_string_free(suspected, TRUE);
     g_string_free(avoided, TRUE);
-    g_string_free(by, TRUE);
+    g_string_free(relays, TRUE);
     g_strfreev(steps);
     fixture_close(&f);
 }
 
-/* Steers a packet of a caller. */
 static struct evidence_verdict
 steer(struct fixture *f, uint64_t now, uint16_t caller, uint64_t named,
       uint32_t number)
@@ -167,9 +160,8 @@
     return verdict;
 }
 
-/* A copy of a first packet shows that hall b is cut off: open flows there take
- * detours from then on, new ones go elsewhere, and the copy takes none. When
- * the hall is heard again, both go straight. */
+/* After a retransmitted first packet, open flows to hall b must be relayed and
+ * new ones avoid it, until a node of the hall answers. */
 static void
 test_packets(void)
 {
@@ -203,9 +195,9 @@
     fixture_close(&f);
 }
 
-/* Where nothing else is left, new flows go to a hall that is avoided. */
+/* With all halls avoided, new flows must still be forwarded. */
 static void
-test_last_resort(void)
+test_fallback(void)
 {
     struct evidence_verdict verdict;
     struct fixture f;
@@ -222,22 +214,20 @@
     fixture_close(&f);
 }
 
-/* What is left out, and a test above that must fail then. */
 static const struct mutation mutations[] = {
-    {"reach", FAULT_NO_HALL_SUSPICION, "/reach/packets"},
+    {"hall-suspicion", FAULT_NO_HALL_SUSPICION, "/reach/packets"},
 };
 
-/* Lists the tests. */
 int
 main(int argc, char **argv)
 {
     char path[128];
 
-    mutation_begin();
+    mutation_init();
     g_test_init(&argc, &argv, NULL);
     CASES_ADD("/reach/", reaches, test_reach)
     g_test_add_func("/reach/packets", test_packets);
-    g_test_add_func("/reach/last-resort", test_last_resort);
+    g_test_add_func("/reach/fallback", test_fallback);
     CASES_ADD("/reach/mutation/", mutations, mutation_test)
     return g_test_run();
 }
--- a/tests/test-size.c
+++ b/tests/test-size.c
@@ -284,7 +284,7 @@
 {
     char path[128];
 
-    mutation_begin();
+    mutation_init();
     g_test_init(&argc, &argv, NULL);
     g_test_set_nonfatal_assertions();
     CASES_ADD("/size/kill/", kills, test_kill)
--- a/tests/test-table.c
+++ b/tests/test-table.c
@@ -541,7 +541,7 @@
 {
     char path[128];
 
-    mutation_begin();
+    mutation_init();
     g_test_init(&argc, &argv, NULL);
     g_test_set_nonfatal_assertions();
     g_test_add_func("/table/wiped", test_wiped);
--- a/tests/test-upstream.c
+++ b/tests/test-upstream.c
@@ -1,6 +1,6 @@
 /*
- * The inventory of upstreams: merging, addresses that are used again, doubts
- * and standstills. Tables of cases.
+ * Inventory of upstreams: merging of records in any order, reused addresses,
+ * failure detection from missed registrations and suspicions, and expiry.
  */
 #include <glib.h>
 
@@ -8,11 +8,11 @@
 #include "fixture.h"
 #include "mutation.h"
 
-#define KEPT_SEED 7     /* of the changes that are made by lot */
-#define KEPT_STEPS 5000 /* changes */
-#define KEPT_IDS 40     /* upstreams that they are about, and one */
+#define RANDOM_SEED 7
+#define RANDOM_STEPS 5000
+#define RANDOM_IDS 40 /* exclusive upper bound */
 
-/* Records of one incarnation, in both orders of arrival. */
+/* Two records of one incarnation and the state after merging both. */
 struct merge_case {
     const char *name;
     uint64_t sequence[2];
@@ -25,19 +25,22 @@
      {4, 5},
      {UPSTREAM_READY, UPSTREAM_LEAVING},
      UPSTREAM_LEAVING},
-    {"late-one-loses",
+    {"earlier-loses",
      {5, 4},
      {UPSTREAM_READY, UPSTREAM_LEAVING},
      UPSTREAM_READY},
-    {"silent-at-the-same",
+    {"silent-wins-a-tie",
      {4, 4},
      {UPSTREAM_READY, UPSTREAM_SILENT},
      UPSTREAM_SILENT},
-    {"heard-again", {4, 5}, {UPSTREAM_SILENT, UPSTREAM_READY}, UPSTREAM_READY},
-    {"gone-for-good", {4, 9}, {UPSTREAM_GONE, UPSTREAM_READY}, UPSTREAM_GONE},
+    {"registers-again",
+     {4, 5},
+     {UPSTREAM_SILENT, UPSTREAM_READY},
+     UPSTREAM_READY},
+    {"gone-is-final", {4, 9}, {UPSTREAM_GONE, UPSTREAM_READY}, UPSTREAM_GONE},
 };
 
-/* Merges the records of a case in one order. */
+/* Merges the records of a case from `first` on. */
 static enum upstream_state
 merge_in_order(const struct merge_case *c, int first)
 {
@@ -62,7 +65,7 @@
     return state;
 }
 
-/* The order of arrival makes no difference. */
+/* Nodes that receive records in different orders must agree. */
 static void
 test_merge(const void *data)
 {
@@ -72,30 +75,28 @@
     g_assert_cmpint(merge_in_order(c, 1), ==, c->state_after);
 }
 
-/* Words about one id, in any order of arrival: when the start was born, its
- * sequence, and its state (r, l, s, g). Times are in ms since 1970 with the
- * first digits left out. */
-struct start_word {
-    uint64_t born; /* 0: not stated, as an older program tells it */
+/* A record of one start of upstream 7. */
+struct start_record {
+    uint64_t started_at; /* shortened; 0: not stated, as older programs do */
     uint64_t sequence;
-    char state;
+    char state; /* r: ready, l: leaving, s: silent, g: gone */
 };
 
 struct start_case {
     const char *name;
-    struct start_word words[3]; /* sequence 0: no more of them */
-    struct start_word after;    /* what is believed then */
+    struct start_record records[3]; /* sequence 0: unused */
+    struct start_record after;      /* expected in the inventory */
 };
 
 static const struct start_case starts[] = {
-    {"counts-begin-anew", {{100, 20, 'r'}, {900, 1, 'r'}}, {900, 1, 'r'}},
-    {"late-word-of-the-old-start",
+    {"sequence-restarts", {{100, 20, 'r'}, {900, 1, 'r'}}, {900, 1, 'r'}},
+    {"late-record-of-the-old-start",
      {{100, 20, 'r'}, {900, 1, 'r'}, {100, 21, 'l'}},
      {900, 1, 'r'}},
-    {"old-start-ended",
+    {"old-start-gone",
      {{100, 20, 'g'}, {900, 1, 'r'}, {100, 22, 'r'}},
      {900, 1, 'r'}},
-    {"late-end-of-the-old-start",
+    {"late-gone-of-the-old-start",
      {{900, 1, 'r'}, {100, 20, 'g'}, {900, 2, 'r'}},
      {900, 2, 'r'}},
     {"new-start-leaves", {{100, 20, 'r'}, {900, 3, 'l'}}, {900, 3, 'l'}},
@@ -107,7 +108,6 @@
      {1700, 1, 'r'}},
 };
 
-/* State by its letter. */
 static enum upstream_state
 state_by(char letter)
 {
@@ -117,23 +117,22 @@
                            : UPSTREAM_GONE;
 }
 
-/* Merges a word that another node tells. */
 static bool
-merge_word(struct upstream_set *set, const struct start_word *word)
+merge_record(struct upstream_set *set, const struct start_record *r)
 {
     wire_upstream record = {.id = 7,
-                            .sequence = word->sequence,
-                            .state = state_by(word->state),
+                            .sequence = r->sequence,
+                            .state = state_by(r->state),
                             .slots = 1,
                             .keeper = 9,
                             .service = "feed",
                             .hall = "hall",
-                            .born = word->born};
+                            .born = r->started_at};
 
     return upstream_merge(set, NOW, &record);
 }
 
-/* Merges the words in one order, so many times. */
+/* Merges the records in one order, `times` times. */
 static void
 merge_starts(const struct start_case *c, const int order[3], int times)
 {
@@ -142,20 +141,20 @@
 
     upstream_open(&set, SELF, INTERVAL_MS);
     for (int i = 0; i < 3 * times; i++) {
-        const struct start_word *word = &c->words[order[i % 3]];
+        const struct start_record *record = &c->records[order[i % 3]];
 
-        if (word->sequence != 0) {
-            (void)merge_word(&set, word);
+        if (record->sequence != 0) {
+            (void)merge_record(&set, record);
         }
     }
     u = upstream_by_id(&set, 7);
-    g_assert_cmpuint(u->started_at, ==, c->after.born);
+    g_assert_cmpuint(u->started_at, ==, c->after.started_at);
     g_assert_cmpuint(u->sequence, ==, c->after.sequence);
     g_assert_cmpint(u->state, ==, state_by(c->after.state));
     upstream_close(&set);
 }
 
-/* The order of arrival makes no difference. */
+/* Records of an earlier start, in any order, must not replace a later one. */
 static void
 test_start(const void *data)
 {
@@ -167,29 +166,28 @@
     }
 }
 
-/* Words told by a program that does not know when upstreams were born, after
- * what is believed. */
+/* Records without a start time, as an older program sends, mixed with records
+ * that have one; merged in this order. */
 static const struct start_case mixed[] = {
-    {"nothing-known-yet", {{0, 20, 'r'}}, {0, 20, 'r'}},
-    {"its-old-word-changes-nothing",
+    {"first-record", {{0, 20, 'r'}}, {0, 20, 'r'}},
+    {"unstated-ready-is-ignored",
      {{900, 1, 'r'}, {0, 20, 'r'}},
      {900, 1, 'r'}},
-    {"its-silence-changes-nothing",
+    {"unstated-silent-is-ignored",
      {{900, 3, 'r'}, {0, 20, 's'}},
      {900, 3, 'r'}},
-    {"its-end-changes-nothing", {{900, 3, 'r'}, {0, 20, 'g'}}, {900, 3, 'r'}},
-    {"that-it-leaves-counts", {{900, 3, 'r'}, {0, 4, 'l'}}, {900, 3, 'l'}},
-    {"until-it-registers-again",
+    {"unstated-gone-is-ignored", {{900, 3, 'r'}, {0, 20, 'g'}}, {900, 3, 'r'}},
+    {"unstated-leaving-counts", {{900, 3, 'r'}, {0, 4, 'l'}}, {900, 3, 'l'}},
+    {"leaving-until-it-registers",
      {{900, 3, 'r'}, {0, 20, 'l'}, {900, 4, 'r'}},
      {900, 4, 'r'}},
-    {"a-late-leaving-does-not", {{900, 3, 'r'}, {0, 2, 'l'}}, {900, 3, 'r'}},
-    {"a-start-that-just-began", {{0, 20, 'r'}, {900, 1, 'r'}}, {900, 1, 'r'}},
-    {"after-an-end", {{0, 20, 'g'}, {900, 1, 'r'}}, {900, 1, 'r'}},
-    {"a-start-that-goes-on", {{0, 20, 'r'}, {900, 21, 'r'}}, {900, 21, 'r'}},
-    {"a-late-word", {{0, 20, 'r'}, {900, 19, 'l'}}, {0, 20, 'r'}},
+    {"late-leaving-is-ignored", {{900, 3, 'r'}, {0, 2, 'l'}}, {900, 3, 'r'}},
+    {"new-start", {{0, 20, 'r'}, {900, 1, 'r'}}, {900, 1, 'r'}},
+    {"new-start-after-gone", {{0, 20, 'g'}, {900, 1, 'r'}}, {900, 1, 'r'}},
+    {"start-time-added", {{0, 20, 'r'}, {900, 21, 'r'}}, {900, 21, 'r'}},
+    {"late-record", {{0, 20, 'r'}, {900, 19, 'l'}}, {0, 20, 'r'}},
 };
 
-/* Merges the words in their order. */
 static void
 test_mixed(const void *data)
 {
@@ -198,32 +196,32 @@
     merge_starts(data, in_order, 1);
 }
 
-/* An upstream registers here, begins anew and says that it ends. */
-struct end_case {
+/* Deregistration of an upstream that registered here, started at 900. */
+struct deregister_case {
     const char *name;
-    uint64_t sequence; /* of the start that runs, born at 900 */
-    bool leaving;      /* it said so */
-    uint64_t born;     /* of the start that ends, 0: not stated */
-    bool is_taken;
-    char state; /* believed then */
+    uint64_t sequence;   /* of its registration */
+    bool leaving;        /* in its registration */
+    uint64_t started_at; /* in the deregistration, 0: not stated */
+    bool is_accepted;
+    char state; /* afterwards */
 };
 
-static const struct end_case ends[] = {
-    {"its-own", 20, true, 900, true, 'g'},
-    {"its-own-not-stated", 20, true, 0, true, 'g'},
-    {"not-stated-without-leaving", 20, false, 0, true, 'g'},
-    {"of-an-earlier-start", 20, false, 100, true, 'r'},
-    {"of-an-earlier-start-that-left", 1, true, 100, true, 'l'},
-    {"not-stated-and-it-has-just-begun", 1, false, 0, false, 'r'},
-    {"not-stated-and-it-leaves-at-once", 1, true, 0, true, 'g'},
-    {"of-a-later-start", 20, false, 1700, true, 'g'},
+static const struct deregister_case deregistrations[] = {
+    {"same-start", 20, true, 900, true, 'g'},
+    {"unstated", 20, true, 0, true, 'g'},
+    {"unstated-without-leaving", 20, false, 0, true, 'g'},
+    {"earlier-start", 20, false, 100, true, 'r'},
+    {"earlier-start-while-leaving", 1, true, 100, true, 'l'},
+    {"unstated-after-first-registration", 1, false, 0, false, 'r'},
+    {"unstated-leaving-at-once", 1, true, 0, true, 'g'},
+    {"later-start", 20, false, 1700, true, 'g'},
 };
 
-/* Plays one case. */
+/* A deregistration of another start must not remove the current one. */
 static void
-test_end(const void *data)
+test_deregister(const void *data)
 {
-    const struct end_case *c = data;
+    const struct deregister_case *c = data;
     struct upstream_registration r = {.id = 7,
                                       .service = "feed",
                                       .hall = "hall",
@@ -235,16 +233,16 @@
 
     upstream_open(&set, SELF, INTERVAL_MS);
     g_assert_true(upstream_register(&set, NOW, &r));
-    g_assert_cmpint(upstream_deregister(&set, NOW, 7, c->born), ==,
-                    c->is_taken);
+    g_assert_cmpint(upstream_deregister(&set, NOW, 7, c->started_at), ==,
+                    c->is_accepted);
     g_assert_cmpint(upstream_by_id(&set, 7)->state, ==, state_by(c->state));
     upstream_close(&set);
 }
 
-/* A start that registers here is told to others, whose marks differ until
- * then; a registration that states no start is late once one is known. */
+/* A new start must be announced and change the digest. A registration without
+ * a start time is stale once a start time is known. */
 static void
-test_start_is_spread(void)
+test_start_is_announced(void)
 {
     struct upstream_registration r = {.id = 7,
                                       .service = "feed",
@@ -253,58 +251,56 @@
                                       .sequence = 20,
                                       .started_at = 100};
     struct upstream_set set;
-    uint32_t mark;
+    uint32_t digest;
 
     upstream_open(&set, SELF, INTERVAL_MS);
     g_assert_true(upstream_register(&set, NOW, &r));
-    mark = upstream_by_id(&set, 7)->digest;
+    digest = upstream_by_id(&set, 7)->digest;
     g_array_set_size(set.changed, 0);
     r.started_at = 900;
     r.sequence = 1;
     g_assert_true(upstream_register(&set, NOW, &r));
     g_assert_cmpuint(set.changed->len, ==, 1);
-    g_assert_cmpuint(upstream_by_id(&set, 7)->digest, !=, mark);
+    g_assert_cmpuint(upstream_by_id(&set, 7)->digest, !=, digest);
     r.started_at = 0;
     r.sequence = 30;
     g_assert_false(upstream_register(&set, NOW, &r));
     upstream_close(&set);
 }
 
-/* Registrations of two incarnations at one address: 1 began there first, was
- * heard up to `known`, and 2 registers there when 1 has crashed. Then one of
- * them registers once more. */
+/* Two incarnations at one address: upstream 2 registers after upstream 1
+ * crashed, then one of them registers again. */
 struct address_case {
     const char *name;
-    uint64_t known;          /* last sequence of 1, 0: never heard of */
-    uint64_t second;         /* sequence of the first registration of 2 */
-    uint64_t after_ms;       /* of that, since the last of 1 */
-    uint64_t id;             /* who registers once more */
-    uint64_t sequence;       /* then */
-    bool leaving;            /* then */
-    enum upstream_state one; /* believed at the end; GONE: not known */
+    uint64_t last_sequence;  /* of upstream 1, 0: it never registered */
+    uint64_t first_sequence; /* of upstream 2 */
+    uint64_t after_ms;       /* between those two registrations */
+    uint64_t id;             /* upstream of the final registration */
+    uint64_t sequence;
+    bool leaving;
+    enum upstream_state one; /* states at the end; GONE: not present */
     enum upstream_state two;
 };
 
 static const struct address_case addresses[] = {
-    {"new-one-replaces", 20, 1, 2500, 2, 2, false, UPSTREAM_SILENT,
+    {"replaced", 20, 1, 2500, 2, 2, false, UPSTREAM_SILENT, UPSTREAM_READY},
+    {"replaced-registers-late", 20, 1, 2500, 1, 21, false, UPSTREAM_SILENT,
      UPSTREAM_READY},
-    {"late-word-of-the-old", 20, 1, 2500, 1, 21, false, UPSTREAM_SILENT,
-     UPSTREAM_READY},
-    {"late-word-of-an-old-one-never-heard", 0, 1, 2500, 1, 21, false,
+    {"unknown-replaced-registers-late", 0, 1, 2500, 1, 21, false,
      UPSTREAM_GONE, UPSTREAM_READY},
-    {"late-word-that-it-leaves", 20, 1, 2500, 1, 21, true, UPSTREAM_LEAVING,
+    {"replaced-leaves-late", 20, 1, 2500, 1, 21, true, UPSTREAM_LEAVING,
      UPSTREAM_READY},
-    {"before-the-old-is-silent", 20, 1, 100, 2, 2, false, UPSTREAM_SILENT,
+    {"replaced-before-silent", 20, 1, 100, 2, 2, false, UPSTREAM_SILENT,
      UPSTREAM_READY},
-    {"before-the-old-is-silent-and-late-word", 20, 1, 100, 1, 21, false,
+    {"replaced-before-silent-registers-late", 20, 1, 100, 1, 21, false,
      UPSTREAM_SILENT, UPSTREAM_READY},
-    {"old-one-began-lately-too", 1, 1, 2500, 1, 2, false, UPSTREAM_SILENT,
+    {"replaced-soon-after-its-start", 1, 1, 2500, 1, 2, false, UPSTREAM_SILENT,
      UPSTREAM_READY},
-    {"first-word-of-the-new-was-lost", 20, 3, 2500, 1, 21, false,
+    {"first-registration-of-new-lost", 20, 3, 2500, 1, 21, false,
      UPSTREAM_SILENT, UPSTREAM_READY},
 };
 
-/* Registers an upstream at the address that all of them share. */
+/* Registers an upstream at the address that all upstreams share. */
 static void
 register_there(struct upstream_set *set, uint64_t now, uint64_t id,
                uint64_t sequence, bool leaving)
@@ -322,7 +318,7 @@
     upstream_register(set, now, &r);
 }
 
-/* What is believed, GONE for what is not known. */
+/* Returns GONE for an upstream that is not present. */
 static enum upstream_state
 state_of(const struct upstream_set *set, uint64_t id)
 {
@@ -331,7 +327,7 @@
     return upstream != NULL ? upstream->state : UPSTREAM_GONE;
 }
 
-/* Plays one case. */
+/* A late registration of a replaced incarnation must not make it ready. */
 static void
 test_address(const void *data)
 {
@@ -340,19 +336,19 @@
     uint64_t now = NOW;
 
     upstream_open(&set, SELF, INTERVAL_MS);
-    if (c->known > 0) {
+    if (c->last_sequence > 0) {
         register_there(&set, now, 1, 1, false);
-        register_there(&set, now, 1, c->known, false);
+        register_there(&set, now, 1, c->last_sequence, false);
     }
     now += c->after_ms;
-    register_there(&set, now, 2, c->second, false);
+    register_there(&set, now, 2, c->first_sequence, false);
     register_there(&set, now + 50, c->id, c->sequence, c->leaving);
     g_assert_cmpint(state_of(&set, 1), ==, c->one);
     g_assert_cmpint(state_of(&set, 2), ==, c->two);
     upstream_close(&set);
 }
 
-/* What another node tells of a new incarnation replaces the old one too. */
+/* A record merged from another node replaces an old incarnation too. */
 static void
 test_address_merged(void)
 {
@@ -375,51 +371,53 @@
     upstream_close(&set);
 }
 
-/* What the node that hears upstream 1 believes of it. Each step is a letter
- * and the time since its last registration, in 10 ms:
- *   a b c  that node says that data was unanswered for 200 ms
- *   A      a says that it answered after all
- *   r      it registers again; l the same, and that it leaves
- *   w      nothing happens
- *   k      another node hears it from now on */
-struct word_case {
+/* State of upstream 1 at its keeper. Each step is a letter and the time since
+ * the upstream's first registration, in 10 ms:
+ *   a b c  that node reports a suspicion: data unanswered for 200 ms
+ *   A      node a reports that the upstream is alive
+ *   r      the upstream registers; l: as leaving
+ *   w      no event
+ *   k      another node becomes keeper */
+struct suspicion_case {
     const char *name;
     const char *steps;
     enum upstream_state state; /* 110 ms after the last step */
 };
 
-static const struct word_case words[] = {
+static const struct suspicion_case suspicions[] = {
     {"three", "a40 b41 c42", UPSTREAM_SILENT},
     {"two", "a40 b41", UPSTREAM_READY},
-    {"one-thrice", "a40 a41 a42", UPSTREAM_READY},
-    {"long-apart", "a40 b41 c142", UPSTREAM_READY},
-    {"answered-after-all", "a40 b41 c42 A44", UPSTREAM_READY},
-    {"answered-before-the-third", "a40 b41 A42 c43", UPSTREAM_READY},
+    {"one-node-thrice", "a40 a41 a42", UPSTREAM_READY},
+    {"far-apart", "a40 b41 c142", UPSTREAM_READY},
+    {"alive-report", "a40 b41 c42 A44", UPSTREAM_READY},
+    {"alive-report-before-the-third", "a40 b41 A42 c43", UPSTREAM_READY},
     {"registered-since", "a40 b41 r41 c42", UPSTREAM_READY},
     {"registered-after-the-data", "r39 a40 b41 c42", UPSTREAM_READY},
     {"registers-again-later", "a40 b41 c42 r60", UPSTREAM_READY},
     {"leaves", "l1 a40 b41 c42", UPSTREAM_LEAVING},
-    {"heard-by-another-node", "k1 a40 b41 c42", UPSTREAM_READY},
+    {"other-keeper", "k1 a40 b41 c42", UPSTREAM_READY},
     {"no-registration", "w160", UPSTREAM_SILENT},
     {"three-and-no-registration", "a40 b41 c42 w160", UPSTREAM_LOST},
     {"no-registration-and-three-later", "w156 a170 b171 c172", UPSTREAM_LOST},
     {"no-registration-and-two", "w156 a170 b171", UPSTREAM_SILENT},
-    {"no-registration-and-one-thrice", "w156 a170 a171 a172", UPSTREAM_SILENT},
-    {"three-answered-and-no-registration", "a40 b41 c42 A100 w160",
+    {"no-registration-and-one-node-thrice", "w156 a170 a171 a172",
+     UPSTREAM_SILENT},
+    {"three-alive-report-no-registration", "a40 b41 c42 A100 w160",
      UPSTREAM_SILENT},
-    {"no-registration-answered-and-three", "w156 A168 a170 b171 c172",
+    {"no-registration-alive-report-three", "w156 A168 a170 b171 c172",
      UPSTREAM_SILENT},
-    {"no-registration-answered-long-ago-and-three", "w156 A158 a270 b271 c272",
+    {"no-registration-old-alive-report-three", "w156 A158 a270 b271 c272",
      UPSTREAM_LOST},
     {"lost-and-registers", "a40 b41 c42 w160 r170", UPSTREAM_READY},
     {"lost-and-leaves", "a40 b41 c42 w160 l170", UPSTREAM_LEAVING},
 };
 
-/* Plays one case. */
+/* Suspicions of three nodes mark an upstream silent; with missed registrations
+ * as well, it is lost. */
 static void
-test_word(const void *data)
+test_suspicion(const void *data)
 {
-    const struct word_case *c = data;
+    const struct suspicion_case *c = data;
     gchar **steps = g_strsplit(c->steps, " ", -1);
     uint64_t now = NOW;
     uint64_t sequence = 1;
@@ -453,13 +451,12 @@
     upstream_close(&set);
 }
 
-/* A node that began anew watches what it heard before, for longer than what it
- * hears: the upstream may have turned to another node meanwhile. Then it asks
- * others, once, and waits for their answer. */
+/* A restarted node must not mark an upstream silent that may have changed its
+ * keeper: it waits longer than usual and queries other nodes once. */
 static void
-test_began_anew(void)
+test_restart(void)
 {
-    uint64_t asks_at = NOW + 4 * INTERVAL_MS;
+    uint64_t query_at = NOW + 4 * INTERVAL_MS;
     struct upstream_set set;
     wire_upstream record = {.id = 1,
                             .sequence = 20,
@@ -476,7 +473,7 @@
     upstream_tick(&set, NOW + 3 * INTERVAL_MS);
     g_assert_cmpint(state_of(&set, 1), ==, UPSTREAM_READY);
     g_assert_cmpuint(set.queries->len, ==, 0);
-    upstream_tick(&set, asks_at);
+    upstream_tick(&set, query_at);
     g_assert_cmpint(state_of(&set, 1), ==, UPSTREAM_READY);
     g_assert_cmpuint(set.queries->len, ==, 1);
     g_assert_cmpuint(upstream_deadline(&set), <, NOW + 5 * INTERVAL_MS);
@@ -486,8 +483,8 @@
     upstream_close(&set);
 }
 
-/* What another node wrongly believes of an upstream that registers here is
- * corrected, but not with each word of it. */
+/* The keeper corrects a stale record of another node once, not for each copy
+ * that it receives. */
 static void
 test_contradiction(void)
 {
@@ -510,9 +507,9 @@
     upstream_close(&set);
 }
 
-/* Registrations that a node missed while it stood still prove nothing. */
+/* Registrations missed during a stall of this node must not count. */
 static void
-test_excuse(void)
+test_stall(void)
 {
     uint64_t gap = 3 * INTERVAL_MS;
     struct upstream_set set;
@@ -527,12 +524,12 @@
     upstream_close(&set);
 }
 
-/* Checks what an inventory keeps with each change against all records. */
+/* Compares digests and the deadline with those computed from all records. */
 static void
-check_kept(const struct upstream_set *set)
+check_digests(const struct upstream_set *set)
 {
     uint32_t sums[WIRE_BUCKETS] = {0};
-    uint32_t kept[WIRE_BUCKETS];
+    uint32_t digests[WIRE_BUCKETS];
 
     for (guint i = 0; i < set->all->len; i++) {
         const struct upstream *u = g_ptr_array_index(set->all, i);
@@ -545,22 +542,22 @@
             g_assert_cmpuint(upstream_deadline(set), <=, u->expire_at);
         }
     }
-    upstream_digests(set, kept);
-    g_assert_cmpmem(sums, sizeof(sums), kept, sizeof(kept));
+    upstream_digests(set, digests);
+    g_assert_cmpmem(sums, sizeof(sums), digests, sizeof(digests));
 }
 
-/* Digests and the earliest deadline are kept with each change; after any
- * changes they are what all records together give. */
+/* Incrementally updated digests and deadlines must stay exact after random
+ * changes. */
 static void
-test_kept(void)
+test_digests(void)
 {
     struct upstream_set set;
-    GRand *random = g_rand_new_with_seed(KEPT_SEED);
+    GRand *random = g_rand_new_with_seed(RANDOM_SEED);
     uint64_t now = NOW;
 
     upstream_open(&set, SELF, INTERVAL_MS);
-    for (uint64_t step = 1; step <= KEPT_STEPS; step++) {
-        uint64_t id = g_rand_int_range(random, 1, KEPT_IDS);
+    for (uint64_t step = 1; step <= RANDOM_STEPS; step++) {
+        uint64_t id = g_rand_int_range(random, 1, RANDOM_IDS);
         wire_upstream record = {.id = id,
                                 .sequence = step,
                                 .state = g_rand_int_range(random, 0, 4),
@@ -592,29 +589,29 @@
             break;
         }
         g_array_set_size(set.changed, 0);
-        check_kept(&set);
+        check_digests(&set);
     }
     g_rand_free(random);
     upstream_close(&set);
 }
 
-/* What is left out, and a test above that must fail then. */
 static const struct mutation mutations[] = {
-    {"silence", FAULT_NO_REGISTRATION_TIMEOUT, "/upstream/excuse"},
-    {"excuse", FAULT_NO_STALL_EXTENSION, "/upstream/excuse"},
-    {"second-sign", FAULT_NO_LOST_STATE,
-     "/upstream/doubt/three-and-no-registration"},
-    {"replace", FAULT_NO_REPLACE, "/upstream/address/late-word-of-the-old"},
-    {"born", FAULT_NO_START_TIME, "/upstream/start/counts-begin-anew"},
-    {"born-late", FAULT_NO_START_TIME,
-     "/upstream/start/late-word-of-the-old-start"},
-    {"born-end", FAULT_NO_START_TIME,
-     "/upstream/end/not-stated-and-it-has-just-begun"},
+    {"registration-timeout", FAULT_NO_REGISTRATION_TIMEOUT, "/upstream/stall"},
+    {"stall-extension", FAULT_NO_STALL_EXTENSION, "/upstream/stall"},
+    {"lost-state", FAULT_NO_LOST_STATE,
+     "/upstream/suspicion/three-and-no-registration"},
+    {"replace", FAULT_NO_REPLACE, "/upstream/address/replaced-registers-late"},
+    {"start-time", FAULT_NO_START_TIME, "/upstream/start/sequence-restarts"},
+    {"start-time-late-record", FAULT_NO_START_TIME,
+     "/upstream/start/late-record-of-the-old-start"},
+    {"start-time-deregister", FAULT_NO_START_TIME,
+     "/upstream/deregister/unstated-after-first-registration"},
 };
 
-/* Tells one inventory what another one holds. */
+/* Merges all records of one inventory into another one. */
 static void
-tell(const struct upstream_set *from, struct upstream_set *to, uint64_t now)
+merge_all(const struct upstream_set *from, struct upstream_set *to,
+          uint64_t now)
 {
     for (guint i = 0; i < from->all->len; i++) {
         wire_upstream record;
@@ -624,11 +621,10 @@
     }
 }
 
-/* Nodes that tell each other forget an upstream that ended at the same time.
- * When each counts from when it was told, one that forgot is told again by one
- * that was told later, and every upstream that ever ended stays known. */
+/* Nodes that exchange a tombstone must expire it together. A node that counted
+ * its lifetime from reception would restore it at nodes that removed it. */
 static void
-test_gone_is_forgotten(void)
+test_tombstone_expires(void)
 {
     struct upstream_set sets[2];
     uint64_t until = NOW + 3 * UPSTREAM_TOMBSTONE_MS;
@@ -641,8 +637,8 @@
         for (int i = 0; i < 2; i++) {
             upstream_tick(&sets[i], now);
         }
-        tell(&sets[0], &sets[1], now + UPSTREAM_TOMBSTONE_MS / 10);
-        tell(&sets[1], &sets[0], now + UPSTREAM_TOMBSTONE_MS / 10);
+        merge_all(&sets[0], &sets[1], now + UPSTREAM_TOMBSTONE_MS / 10);
+        merge_all(&sets[1], &sets[0], now + UPSTREAM_TOMBSTONE_MS / 10);
     }
     for (int i = 0; i < 2; i++) {
         g_assert_cmpuint(sets[i].all->len, ==, 0);
@@ -650,27 +646,26 @@
     }
 }
 
-/* Lists the tests. */
 int
 main(int argc, char **argv)
 {
     char path[128];
 
-    mutation_begin();
+    mutation_init();
     g_test_init(&argc, &argv, NULL);
     CASES_ADD("/upstream/merge/", merges, test_merge)
     CASES_ADD("/upstream/start/", starts, test_start)
     CASES_ADD("/upstream/start/mixed/", mixed, test_mixed)
-    CASES_ADD("/upstream/end/", ends, test_end)
-    g_test_add_func("/upstream/start/spread", test_start_is_spread);
+    CASES_ADD("/upstream/deregister/", deregistrations, test_deregister)
+    g_test_add_func("/upstream/start/announced", test_start_is_announced);
     CASES_ADD("/upstream/address/", addresses, test_address)
     g_test_add_func("/upstream/address/merged", test_address_merged);
-    CASES_ADD("/upstream/doubt/", words, test_word)
-    g_test_add_func("/upstream/excuse", test_excuse);
-    g_test_add_func("/upstream/kept", test_kept);
-    g_test_add_func("/upstream/began-anew", test_began_anew);
+    CASES_ADD("/upstream/suspicion/", suspicions, test_suspicion)
+    g_test_add_func("/upstream/stall", test_stall);
+    g_test_add_func("/upstream/digests", test_digests);
+    g_test_add_func("/upstream/restart", test_restart);
     g_test_add_func("/upstream/contradiction", test_contradiction);
-    g_test_add_func("/upstream/gone-is-forgotten", test_gone_is_forgotten);
+    g_test_add_func("/upstream/tombstone-expires", test_tombstone_expires);
     CASES_ADD("/upstream/mutation/", mutations, mutation_test)
     return g_test_run();
 }
--- a/tests/test-warmup.c
+++ b/tests/test-warmup.c
@@ -1,11 +1,7 @@
 /*
- * Upstreams that have just begun bear a bounded rate of new flows, summed over
- * all nodes, of which each sees a fraction.
- *
- * The load: 95 nodes with 16 new flows a second each, as many as the busiest
- * deployment has on a top of its wave, and a service of which some or all
- * upstreams are cold for 2 s, as after a release, or when a data hall comes
- * back. Each node decides alone, with what it has been told.
+ * Warm-up of started upstreams: the rate of new flows of an upstream, summed
+ * over all nodes, must not exceed its limit, though each node decides alone
+ * and with an incomplete view of the other nodes.
  */
 #include <glib.h>
 #include <string.h>
@@ -17,45 +13,45 @@
 #include "window.h"
 
 #define NODES 95
-#define FLOWS_A_NODE_S 16U /* new ones */
-#define COLD_MS 2000U
-#define BOUND 9U /* new flows in any second: 3 a second, times 1.5, and 5 */
+#define FLOWS_PER_NODE_S 16U /* new ones */
+#define WARMUP_MS 2000U
+#define LIMIT 9U /* new flows in any second: 3 * 1.5 + 5, rounded down */
 #define CALLER_PORTS 30000
 
-/* Which nodes a node knows. */
+/* Members that a node has in its list. */
 enum view {
     VIEW_ALL,
-    VIEW_TENTH_UNKNOWN, /* each lacks another tenth */
-    VIEW_HALVES,        /* each half knows itself alone */
-    VIEW_JOINS,         /* a third is new; a third of the others knows it */
-    VIEW_NONE           /* has just begun: knows nobody */
+    VIEW_TENTH_MISSING, /* a different tenth at each node */
+    VIEW_HALVES,        /* each node has its own half */
+    VIEW_JOINING,       /* a third joins; a third of the others has it */
+    VIEW_NONE           /* just started */
 };
 
-/* A service, and who of it is cold. */
-struct scene {
+/* A service with upstreams that warm up. */
+struct scenario {
     const char *name;
     unsigned upstreams;
-    unsigned cold; /* the first of them */
+    unsigned warming; /* number of them, from the first on */
     enum view view;
 };
 
-static const struct scene scenes[] = {
-    {"one-of-many", 30, 1, VIEW_ALL},
+static const struct scenario scenarios[] = {
+    {"one-of-thirty", 30, 1, VIEW_ALL},
     {"a-third", 30, 10, VIEW_ALL},
     {"all", 30, 30, VIEW_ALL},
-    {"the-only-one", 1, 1, VIEW_ALL},
-    {"all-tenth-unknown", 30, 30, VIEW_TENTH_UNKNOWN},
+    {"only-one", 1, 1, VIEW_ALL},
+    {"all-tenth-missing", 30, 30, VIEW_TENTH_MISSING},
     {"all-halves", 30, 30, VIEW_HALVES},
-    {"all-joins", 30, 30, VIEW_JOINS},
-    {"the-only-one-joins", 1, 1, VIEW_JOINS},
-    {"all-began-anew", 30, 30, VIEW_NONE},
+    {"all-joining", 30, 30, VIEW_JOINING},
+    {"only-one-joining", 1, 1, VIEW_JOINING},
+    {"all-nodes-started", 30, 30, VIEW_NONE},
 };
 
 static struct fixture nodes[NODES];
 
-/* A table whose service states what a cold upstream bears. */
+/* Returns a table whose service limits the rate of warming upstreams. */
 static struct route_table *
-table(void)
+read_table(void)
 {
     static const char text[] =
         "{\"version\":1,\"routes\":[{\"name\":\"r\",\"hostname\":"
@@ -63,24 +59,24 @@
         "\"timeout_ms\":3000,\"service\":\"feed\"}],\"services\":[{\"name\":"
         "\"feed\",\"warmup_s\":2.0,\"warmup_per_s\":3.0}]}";
     struct status st = {STATUS_OK, ""};
-    struct route_table *read = platform_read_table(text, strlen(text), &st);
+    struct route_table *table = platform_read_table(text, strlen(text), &st);
 
-    g_assert_nonnull(read);
-    return read;
+    g_assert_nonnull(table);
+    return table;
 }
 
-/* Says whether a node knows another one. */
+/* Returns whether a node has another one in its list of members. */
 static bool
-knows(enum view view, uint32_t n, uint32_t other)
+has_member(enum view view, uint32_t n, uint32_t other)
 {
     switch (view) {
     case VIEW_ALL:
         return true;
-    case VIEW_TENTH_UNKNOWN:
+    case VIEW_TENTH_MISSING:
         return n == other || (n + other) % 10 != 0;
     case VIEW_HALVES:
         return n % 2 == other % 2;
-    case VIEW_JOINS:
+    case VIEW_JOINING:
         return other % 3 != 0 || n % 3 == 0 || n % 9 == 1;
     case VIEW_NONE:
         return false;
@@ -88,16 +84,15 @@
     return false;
 }
 
-/* Lets a node know others. */
 static void
-know(struct fixture *f, uint32_t n, enum view view)
+set_members(struct fixture *f, uint32_t n, enum view view)
 {
     GArray *all = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 
     for (uint32_t other = 0; other < NODES; other++) {
         uint32_t address = SELF + other;
 
-        if (knows(view, n, other)) {
+        if (has_member(view, n, other)) {
             g_array_append_val(all, address);
         }
     }
@@ -105,9 +100,9 @@
     g_array_free(all, TRUE);
 }
 
-/* Makes the nodes; each is told of all upstreams. */
+/* Opens the nodes, each with all upstreams in its inventory. */
 static void
-open_nodes(const struct scene *scene)
+open_nodes(const struct scenario *scenario)
 {
     for (uint32_t n = 0; n < NODES; n++) {
         struct fixture *f = &nodes[n];
@@ -119,26 +114,26 @@
         f->ev.rank = (uint32_t)(((uint64_t)n << 32) / NODES);
         f->ev.overshoot_milli = 1500;
         f->ev.slack_milli = 5000;
-        know(f, n, scene->view);
-        g_assert_true(evidence_apply(&f->ev, table()));
-        for (uint64_t id = 1; id <= scene->upstreams; id++) {
-            wire_upstream record = {.id = id,
-                                    .sequence = 1,
-                                    .address = 0x0a800000U + (uint32_t)id,
-                                    .port = 8080,
-                                    .slots = 2,
-                                    .state = UPSTREAM_READY,
-                                    .warm_ms = id <= scene->cold ? COLD_MS : 0,
-                                    .keeper = SELF,
-                                    .service = "feed",
-                                    .hall = "hall"};
+        set_members(f, n, scenario->view);
+        g_assert_true(evidence_apply(&f->ev, read_table()));
+        for (uint64_t id = 1; id <= scenario->upstreams; id++) {
+            wire_upstream record = {
+                .id = id,
+                .sequence = 1,
+                .address = 0x0a800000U + (uint32_t)id,
+                .port = 8080,
+                .slots = 2,
+                .state = UPSTREAM_READY,
+                .warm_ms = id <= scenario->warming ? WARMUP_MS : 0,
+                .keeper = SELF,
+                .service = "feed",
+                .hall = "hall"};
 
             g_assert_true(upstream_merge(&f->upstreams, NOW, &record));
         }
     }
 }
 
-/* Frees them. */
 static void
 close_nodes(void)
 {
@@ -147,20 +142,20 @@
     }
 }
 
-/* Callers open flows at all nodes while upstreams are cold. */
+/* No warming upstream may get more than LIMIT new flows in any second. */
 static void
-test_bound(const void *data)
+test_rate(const void *data)
 {
-    const struct scene *scene = data;
+    const struct scenario *scenario = data;
     GRand *random = g_rand_new_with_seed(29);
-    GArray **at = g_new0(GArray *, scene->upstreams + 1);
-    unsigned most = 0;
+    GArray **at = g_new0(GArray *, scenario->upstreams + 1);
+    unsigned max = 0;
 
-    open_nodes(scene);
-    for (unsigned id = 1; id <= scene->upstreams; id++) {
+    open_nodes(scenario);
+    for (unsigned id = 1; id <= scenario->upstreams; id++) {
         at[id] = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     }
-    for (uint64_t ms = 0; ms < COLD_MS; ms++) {
+    for (uint64_t ms = 0; ms < WARMUP_MS; ms++) {
         for (int n = 0; n < NODES; n++) {
             struct evidence_packet packet = fixture_packet(
                 (uint16_t)g_rand_int_range(random, 1, CALLER_PORTS), true, 0,
@@ -168,7 +163,8 @@
             struct evidence_verdict verdict;
             uint64_t now = NOW + ms;
 
-            if (g_rand_int_range(random, 0, 1000) >= (gint32)FLOWS_A_NODE_S) {
+            if (g_rand_int_range(random, 0, 1000) >=
+                (gint32)FLOWS_PER_NODE_S) {
                 continue;
             }
             evidence_steer(&nodes[n].ev, now, &packet, &verdict);
@@ -177,58 +173,58 @@
             }
         }
     }
-    for (unsigned id = 1; id <= scene->upstreams; id++) {
-        most = id <= scene->cold ? MAX(most, window_most(at[id], 1000)) : most;
+    for (unsigned id = 1; id <= scenario->upstreams; id++) {
+        max =
+            id <= scenario->warming ? MAX(max, window_max(at[id], 1000)) : max;
         g_array_free(at[id], TRUE);
     }
-    g_test_message("at most %u new flows in a second", most);
-    g_assert_cmpuint(most, <=, BOUND);
+    g_test_message("at most %u new flows in a second", max);
+    g_assert_cmpuint(max, <=, LIMIT);
     g_free(at);
     g_rand_free(random);
     close_nodes();
 }
 
-/* What a stated rate makes of a service's upstreams. */
+/* The limit that results from a service's rate and the tolerances. */
 struct limit_case {
     const char *name;
-    uint64_t rate_milli;
+    uint64_t rate_milli; /* new flows per second, times 1000 */
     uint64_t overshoot_milli;
     uint64_t slack_milli;
     bool bounded;
-    uint32_t owners; /* a third of the bound */
+    uint32_t owners; /* a third of the limit */
 };
 
 static const struct limit_case limits[] = {
-    {"none-stated", 0, 1500, 5000, false, 1},
+    {"no-rate", 0, 1500, 5000, false, 1},
     {"one", 1000, 1500, 5000, true, 2},
     {"three", 3000, 1500, 5000, true, 3},
     {"eight", 8000, 1500, 5000, true, 5},
     {"no-slack", 3000, 1000, 0, true, 1},
-    {"less-than-one-for-each-view", 2000, 1000, 0, true, 0},
+    {"less-than-one-owner", 2000, 1000, 0, true, 0},
     {"half-a-flow", 500, 1000, 0, true, 0},
 };
 
-/* Works one out. */
 static void
 test_limit(const void *data)
 {
     const struct limit_case *c = data;
     struct warmup_limit limit = warmup_limit_of(
-        COLD_MS, c->rate_milli, c->overshoot_milli, c->slack_milli);
+        WARMUP_MS, c->rate_milli, c->overshoot_milli, c->slack_milli);
 
     g_assert_cmpint(limit.bounded, ==, c->bounded);
     g_assert_cmpuint(limit.owners, ==, c->owners);
-    g_assert_cmpuint(limit.warmup_ms, ==, COLD_MS);
+    g_assert_cmpuint(limit.warmup_ms, ==, WARMUP_MS);
 }
 
-/* Each upstream has as many owners as are wanted, whoever asks; no node owns
- * much more than its share. */
+/* Every upstream must have the requested number of owners, and no node three
+ * times its share. */
 static void
 test_owners(void)
 {
     enum { UPSTREAMS = 300, OWNERS = 3 };
-    const struct scene none = {"", 0, 0, VIEW_ALL};
-    unsigned most = 0;
+    const struct scenario none = {"", 0, 0, VIEW_ALL};
+    unsigned max = 0;
     unsigned sum = 0;
 
     open_nodes(&none);
@@ -239,24 +235,24 @@
             owned += warmup_is_owner(&nodes[n].ev.nodes, OWNERS, id);
         }
         sum += owned;
-        most = MAX(most, owned);
+        max = MAX(max, owned);
     }
     g_assert_cmpuint(sum, ==, UPSTREAMS * OWNERS);
-    g_assert_cmpuint(most, <, 3 * UPSTREAMS * OWNERS / NODES);
+    g_assert_cmpuint(max, <, 3 * UPSTREAMS * OWNERS / NODES);
     close_nodes();
 }
 
-/* Where no bound is stated, a cold upstream weighs more and no more than that:
- * it gets about as many flows as a warm one divided by 1.6. */
+/* Without a rate, a warming upstream must get the share of flows that its
+ * weight of 1.6 gives, 1 / 1.6 of a warm one's. */
 static void
-test_unbounded(void)
+test_no_rate(void)
 {
     struct fixture f;
-    unsigned cold = 0;
+    unsigned warming = 0;
 
     fixture_open(&f, 10);
     for (uint64_t id = 1; id <= 5; id++) {
-        upstream_by_id(&f.upstreams, id)->warmup_until = NOW + COLD_MS;
+        upstream_by_id(&f.upstreams, id)->warmup_until = NOW + WARMUP_MS;
     }
     for (uint16_t caller = 1; caller <= 1000; caller++) {
         struct evidence_packet packet = fixture_packet(caller, true, 0, 0);
@@ -264,35 +260,35 @@
 
         evidence_steer(&f.ev, NOW, &packet, &verdict);
         g_assert_cmpint(verdict.action, ==, EVIDENCE_FORWARD);
-        cold += verdict.upstream->id <= 5;
+        warming += verdict.upstream->id <= 5;
     }
-    g_assert_cmpuint(cold, >, 350);
-    g_assert_cmpuint(cold, <, 450);
+    g_assert_cmpuint(warming, >, 350);
+    g_assert_cmpuint(warming, <, 450);
     fixture_close(&f);
 }
 
-/* A caller who cannot be served hears so at once, by which rule. */
+/* A new flow that no warming upstream may take must be refused, not held. */
 static void
 test_refused(void)
 {
     struct evidence_packet packet = fixture_packet(7, true, 0, 0);
     struct evidence_verdict verdict;
-    const struct scene all = {"", 4, 4, VIEW_NONE};
+    const struct scenario all = {"", 4, 4, VIEW_NONE};
 
     open_nodes(&all);
     evidence_steer(&nodes[0].ev, NOW, &packet, &verdict);
     g_assert_cmpint(verdict.action, ==, EVIDENCE_REFUSE);
     g_assert_cmpint(verdict.rule, ==, RULE_ALL_WARMING_UP);
     g_assert_cmpuint(verdict.warming, ==, 4);
-    evidence_steer(&nodes[0].ev, NOW + COLD_MS, &packet, &verdict);
+    evidence_steer(&nodes[0].ev, NOW + WARMUP_MS, &packet, &verdict);
     g_assert_cmpint(verdict.action, ==, EVIDENCE_FORWARD);
     close_nodes();
 }
 
-/* An upstream that turns cold though it had been warm is told of: its word
- * reaches one node alone. */
+/* An upstream that registers as warming up after it was warm must be announced
+ * to other nodes once. */
 static void
-test_turns_cold(void)
+test_warmup_is_announced(void)
 {
     struct upstream_registration r = {.id = 7,
                                       .service = "feed",
@@ -305,36 +301,34 @@
     g_assert_true(upstream_register(&set, NOW, &r));
     g_array_set_size(set.changed, 0);
     r.sequence++;
-    r.warm_ms = COLD_MS;
+    r.warm_ms = WARMUP_MS;
     g_assert_true(upstream_register(&set, NOW + 500, &r));
     g_assert_cmpuint(set.changed->len, ==, 1);
     r.sequence++;
-    r.warm_ms = COLD_MS - 700;
+    r.warm_ms = WARMUP_MS - 700;
     g_assert_true(upstream_register(&set, NOW + 1200, &r));
     g_assert_cmpuint(set.changed->len, ==, 1);
     upstream_close(&set);
 }
 
-/* What is left out, and a test above that must fail then. */
 static const struct mutation mutations[] = {
-    {"bound", FAULT_NO_WARMUP, "/warmup/bound/all"},
-    {"counted-a-node", FAULT_ALL_WARMUP_OWNERS, "/warmup/bound/all"},
+    {"limit", FAULT_NO_WARMUP, "/warmup/rate/all"},
+    {"owners", FAULT_ALL_WARMUP_OWNERS, "/warmup/rate/all"},
 };
 
-/* Lists the tests. */
 int
 main(int argc, char **argv)
 {
     char path[128];
 
-    mutation_begin();
+    mutation_init();
     g_test_init(&argc, &argv, NULL);
-    CASES_ADD("/warmup/bound/", scenes, test_bound)
+    CASES_ADD("/warmup/rate/", scenarios, test_rate)
     CASES_ADD("/warmup/limit/", limits, test_limit)
     g_test_add_func("/warmup/owners", test_owners);
-    g_test_add_func("/warmup/unbounded", test_unbounded);
+    g_test_add_func("/warmup/no-rate", test_no_rate);
     g_test_add_func("/warmup/refused", test_refused);
-    g_test_add_func("/warmup/turns-cold", test_turns_cold);
+    g_test_add_func("/warmup/announced", test_warmup_is_announced);
     CASES_ADD("/warmup/mutation/", mutations, mutation_test)
     return g_test_run();
 }
--- a/tests/window.c
+++ b/tests/window.c
@@ -1,11 +1,10 @@
-/* Windows that slide. */
+/* Sliding-window maximum. */
 #include "window.h"
 
-/* Most of some times in any span. */
 unsigned
-window_most(const GArray *times, uint64_t ms)
+window_max(const GArray *times, uint64_t ms)
 {
-    unsigned most = 0;
+    unsigned max = 0;
     guint first = 0;
 
     for (guint i = 0; i < times->len; i++) {
@@ -13,7 +12,7 @@
                g_array_index(times, uint64_t, i)) {
             first++;
         }
-        most = MAX(most, i - first + 1);
+        max = MAX(max, i - first + 1);
     }
-    return most;
+    return max;
 }
--- a/tests/window.h
+++ b/tests/window.h
@@ -1,7 +1,6 @@
 /**
  * @file window.h
- * Windows that slide: what is counted in any span of a length, not in whole
- * seconds.
+ * Sliding-window maximum of event counts.
  */
 #ifndef RIDGERIDGE_WINDOW_H
 #define RIDGERIDGE_WINDOW_H
@@ -9,7 +8,8 @@
 #include <glib.h>
 #include <stdint.h>
 
-/** Most of some times (uint64_t, in order) in any span of `ms`. */
-unsigned window_most(const GArray *times, uint64_t ms);
+/** Returns the maximum number of times (uint64_t, ascending) in any window of
+ * `ms`. */
+unsigned window_max(const GArray *times, uint64_t ms);
 
 #endif
--- a/tools/bench-steer.c
+++ b/tools/bench-steer.c
@@ -6,7 +6,7 @@
  *                    [--scenes FILE] [--nodes N] [--without MECHANISM]
  *
  * FILE is a JSON array, comments allowed, of scenes whose keys are the members
- * of struct steer_scene. A missing key has the value of the scene "calm".
+ * of struct steer_scenario. A missing key has the value of the scene "calm".
  */
 #include <glib.h>
 #include <json-c/json.h>
@@ -20,7 +20,7 @@
 
 #define SCENES_MAX 32
 
-/* X(member): numeric members of struct steer_scene that are keys of a
+/* X(member): numeric members of struct steer_scenario that are keys of a
  * scene. */
 #define SCENE_MEMBERS(X)                                                      \
     X(nodes)                                                                  \
@@ -52,7 +52,7 @@
     .per_s = 1200, .short_share = 20, .work_ms = 17, .aim_ms = 400,           \
     .budget_ms = 2500, .length_ms = 20000
 
-static struct steer_scene scenes[SCENES_MAX] = {
+static struct steer_scenario scenes[SCENES_MAX] = {
     {.name = "calm", SMALL_LOAD},
     {.name = "lossy", SMALL_LOAD, .loss = 25},
     {.name = "renew", SMALL_LOAD, .renew_at = 5000, .renew_share = 50},
@@ -153,10 +153,10 @@
     for (scene_count = 0; scene_count < MIN(count, SCENES_MAX);
          scene_count++) {
         json_object *doc = json_object_array_get_idx(list, scene_count);
-        struct steer_scene *scene = &scenes[scene_count];
+        struct steer_scenario *scene = &scenes[scene_count];
         json_object *value;
 
-        *scene = (struct steer_scene){.name = "own", SMALL_LOAD};
+        *scene = (struct steer_scenario){.name = "own", SMALL_LOAD};
         if (json_object_object_get_ex(doc, "name", &value)) {
             g_strlcpy(scene->name, json_object_get_string(value),
                       sizeof(scene->name));
@@ -174,7 +174,7 @@
 
 /* Runs a scene with one algorithm over all seeds and prints a row. */
 static void
-run_row(const struct steer_scene *scene, enum steer_way way, int seeds,
+run_row(const struct steer_scenario *scene, enum steer_policy way, int seeds,
         int csv)
 {
     double *values = g_new0(double, (gsize)(FIGURES * seeds));
@@ -185,16 +185,16 @@
         double asked;
 
         steer_load_run(scene, way, (uint64_t)seed + 1, &r);
-        asked = MAX(1, r.asked);
-        values[IN_AIM * seeds + seed] = 100.0 * r.in_aim / asked;
+        asked = MAX(1, r.requests);
+        values[IN_AIM * seeds + seed] = 100.0 * r.on_time / asked;
         values[LATE * seeds + seed] = 100.0 * r.late / asked;
         values[FAILED * seeds + seed] = 100.0 * r.failed / asked;
-        values[REJECTED * seeds + seed] = 100.0 * r.turned_away / asked;
-        values[RESETS * seeds + seed] = r.reset_alive;
-        values[FALSE_SILENT * seeds + seed] = r.silent_alive;
+        values[REJECTED * seeds + seed] = 100.0 * r.rejected / asked;
+        values[RESETS * seeds + seed] = r.false_resets;
+        values[FALSE_SILENT * seeds + seed] = r.false_silent;
         values[IMBALANCE * seeds + seed] = r.imbalance;
-        values[NS * seeds + seed] = r.ns_a_decision;
-        values[BYTES * seeds + seed] = r.bytes_a_node_s;
+        values[NS * seeds + seed] = r.ns_per_decision;
+        values[BYTES * seeds + seed] = r.bytes_per_node_s;
     }
     for (int f = 0; f < FIGURES; f++) {
         median[f] = median_of(values + f * seeds, (size_t)seeds);
@@ -202,7 +202,7 @@
     (void)printf(csv ? "%s,%s,%.3f,%.3f,%.3f,%.3f,%.0f,%.0f,%.3f,%.0f,%.0f\n"
                      : "%-12s %-9s %7.2f %6.2f %6.2f %6.2f %6.0f %6.0f %6.2f "
                        "%7.0f %6.0f\n",
-                 scene->name, steer_way_name(way), median[IN_AIM],
+                 scene->name, steer_policy_name(way), median[IN_AIM],
                  median[LATE], median[FAILED], median[REJECTED],
                  median[RESETS], median[FALSE_SILENT], median[IMBALANCE],
                  median[NS], median[BYTES]);
@@ -257,10 +257,11 @@
         if (nodes > 0) {
             scenes[i].nodes = (unsigned)nodes;
         }
-        for (int way = 0; way < STEER_WAYS; way++) {
+        for (int way = 0; way < STEER_POLICIES; way++) {
             if (only_way == NULL ||
-                strcmp(only_way, steer_way_name((enum steer_way)way)) == 0) {
-                run_row(&scenes[i], (enum steer_way)way, seeds, csv);
+                strcmp(only_way, steer_policy_name((enum steer_policy)way)) ==
+                    0) {
+                run_row(&scenes[i], (enum steer_policy)way, seeds, csv);
             }
         }
     }
--- a/tools/bench-warmup.c
+++ b/tools/bench-warmup.c
@@ -259,7 +259,7 @@
 
     for (unsigned u = 0; u < model.upstreams; u++) {
         if (is_warming(u)) {
-            out.worst = MAX(out.worst, window_most(model.times[u], 1000));
+            out.worst = MAX(out.worst, window_max(model.times[u], 1000));
             warming += model.times[u]->len;
         }
         else {
