--- a/tests/flow-load.c
+++ b/tests/flow-load.c
@@ -1,4 +1,9 @@
-/* Flows of callers over a simulated cluster. */
+/**
+ * @file flow-load.c
+ * Load of flows over the simulated cluster: a fabric that sends each packet to
+ * a random entry, callers with short and long-lived flows, and upstreams that
+ * check whether a flow's packets keep coming to them.
+ */
 #include "flow-load.h"
 
 #include <stdio.h>
@@ -10,32 +15,31 @@
 #include "median.h"
 
 #define WARM_UP_MS 12000
-#define LIST_LAG_MS 1000
-#define SYN_AGAIN_MS 1000
+#define FABRIC_LIST_DELAY_MS 1000
+#define SYN_RETRANSMIT_MS 1000
 #define SAMPLE_MS 1000
 #define UPSTREAMS_MAX 32
 #define SHORT_PACKETS 10
-#define TALK_MEAN_MS 4000 /* between packets of a long-lived flow */
-#define SILENT_SHARE 10   /* one in so many is idle until the end */
+#define PACKET_INTERVAL_MS 4000 /* mean, of a long-lived flow */
+#define IDLE_DIVISOR 10 /* 1 of 10 long-lived flows is idle until the end */
 
 enum flow_phase { PHASE_SYN, PHASE_OPEN, PHASE_CLOSED, PHASE_BROKEN };
 
-/* One flow as its caller and upstream know it. */
+/* A flow as seen by its caller and its upstream. */
 struct load_flow {
     uint64_t hash;
     enum flow_phase phase;
     uint32_t upstream; /* last byte of the address, 0: none yet */
-    uint32_t token;    /* what its packets name */
-    bool is_short, silent;
+    uint32_t token;    /* evidence token in its packets */
+    bool is_short, idle;
     unsigned sent;
     uint64_t next_at;
     uint64_t opened_at;
 };
 
-/* A run. */
 struct run {
     const struct flow_load *load;
-    const struct flow_scene *scene;
+    const struct flow_scenario *scenario;
     struct flow_result *out;
     struct sim *sim;
     struct load_flow *flows;
@@ -48,31 +52,29 @@
     char weights[UPSTREAMS_MAX + 1];
     bool weighted;
     uint64_t version;                    /* submitted last */
-    uint64_t left_at[UPSTREAMS_MAX + 1]; /* leaving in force since */
-    GQueue wanted;                       /* struct act: bundles to submit */
+    uint64_t left_at[UPSTREAMS_MAX + 1]; /* leaving since, 0: not leaving */
+    GQueue bundle_queue; /* struct load_event: bundles to submit */
     unsigned open_at[UPSTREAMS_MAX + 1];
     double *samples;
     unsigned sample_count;
     GArray *timers; /* struct timer, a heap by time */
 };
 
-/* When a flow talks next. */
+/* Time of a flow's next packet. */
 struct timer {
     uint64_t at;
     unsigned flow;
 };
 
-/* Names a way. */
 const char *
-flow_load_way(enum way way)
+flow_load_policy_name(enum flow_policy policy)
 {
-    static const char *const names[WAY_COUNT] = {
+    static const char *const names[POLICY_COUNT] = {
         "keepers", "keepers-no-push", "consistent", "modulo", "evidence"};
 
-    return names[way];
+    return names[policy];
 }
 
-/* Adds a timer to the heap. */
 static void
 push_timer(struct run *r, uint64_t at, unsigned flow)
 {
@@ -84,18 +86,17 @@
         struct timer *parent =
             &g_array_index(r->timers, struct timer, (i - 1) / 2);
         struct timer *child = &g_array_index(r->timers, struct timer, i);
-        struct timer held = *parent;
+        struct timer swapped = *parent;
 
         if (parent->at <= child->at) {
             return;
         }
         *parent = *child;
-        *child = held;
+        *child = swapped;
         i = (i - 1) / 2;
     }
 }
 
-/* Takes the first timer off the heap. */
 static struct timer
 pop_timer(struct run *r)
 {
@@ -108,7 +109,7 @@
     g_array_set_size(r->timers, count);
     for (;;) {
         guint least = i;
-        struct timer held;
+        struct timer swapped;
 
         for (guint c = 2 * i + 1; c <= 2 * i + 2; c++) {
             if (c < count && t[c].at < t[least].at) {
@@ -118,22 +119,21 @@
         if (least == i) {
             return first;
         }
-        held = t[i];
+        swapped = t[i];
         t[i] = t[least];
-        t[least] = held;
+        t[least] = swapped;
         i = least;
     }
 }
 
-/* Sets when a flow talks next. */
 static void
-talk_at(struct run *r, unsigned index, uint64_t at)
+schedule_packet(struct run *r, unsigned index, uint64_t at)
 {
     r->flows[index].next_at = at;
     push_timer(r, at, index);
 }
 
-/* Opens a flow: its first packet goes out now. */
+/* Opens a flow, unless the array is full; its first packet is due now. */
 static void
 open_flow(struct run *r, bool is_short)
 {
@@ -145,23 +145,23 @@
     f = &r->flows[r->count];
     f->hash = MAX(1, sim_random(r->sim, 0));
     f->is_short = is_short;
-    f->silent = !is_short && sim_random(r->sim, SILENT_SHARE) == 0;
+    f->idle = !is_short && sim_random(r->sim, IDLE_DIVISOR) == 0;
     f->opened_at = r->sim->now;
     r->out->opened++;
-    talk_at(r, r->count, r->sim->now);
+    schedule_packet(r, r->count, r->sim->now);
     r->count++;
 }
 
-/* Says whether an upstream's address is leaving in the wanted bundle. */
+/* By the states submitted last; `upstream` is the last byte of its address. */
 static bool
 is_leaving(const struct run *r, uint32_t upstream)
 {
     return r->states[upstream - 1] == 'l';
 }
 
-/* Notes that a flow broke. */
+/* Counts a broken flow; describes the first one in the result. */
 static void
-break_flow(struct run *r, unsigned index, int node, uint32_t upstream)
+record_broken(struct run *r, unsigned index, int node, uint32_t upstream)
 {
     struct load_flow *f = &r->flows[index];
 
@@ -178,7 +178,7 @@
     }
 }
 
-/* A packet reached an upstream. */
+/* An upstream received a packet. */
 static void
 on_forwarded(void *data, int node, uint64_t tag,
              const struct flow_packet *packet, uint32_t address, uint16_t port)
@@ -190,7 +190,7 @@
 
     (void)port;
     if (f->phase == PHASE_SYN) {
-        if (f->upstream != 0 && !packet->first && !r->scene->udp) {
+        if (f->upstream != 0 && !packet->first && !r->scenario->udp) {
             return;
         }
         f->phase = PHASE_OPEN;
@@ -200,18 +200,18 @@
         if (left != 0 && r->sim->now > left + 3000) {
             r->out->late_at_leaving++;
         }
-        talk_at(r, (unsigned)tag, r->sim->now + r->load->rtt_ms);
+        schedule_packet(r, (unsigned)tag, r->sim->now + r->load->rtt_ms);
         return;
     }
     if (f->phase != PHASE_OPEN || packet->first) {
         return;
     }
     if (upstream != f->upstream) {
-        break_flow(r, (unsigned)tag, node, upstream);
+        record_broken(r, (unsigned)tag, node, upstream);
     }
 }
 
-/* Picks an entry from the fabric's list; -1 when it is empty. */
+/* Returns a random entry that the fabric lists, -1 when there is none. */
 static int
 pick_entry(struct run *r)
 {
@@ -227,7 +227,7 @@
     return -1;
 }
 
-/* Upstream by hash modulo those that serve in an entry's bundle. */
+/* Chooses by hash modulo the number of serving upstreams; 0: none. */
 static uint32_t
 modulo_upstream(const struct entry_core *entry, uint64_t hash)
 {
@@ -245,24 +245,24 @@
     return count ? serving[hash % count] : 0;
 }
 
-/* Upstream by our table. */
+/* Chooses by the Maglev table of the entry; 0: none. */
 static uint32_t
 table_upstream(const struct entry_core *entry, uint64_t hash)
 {
     uint16_t service = flow_find_named(entry->flow, "feed");
     const struct flow_upstream *u;
-    upstream_id now_owner;
+    upstream_id owner;
     upstream_id old_owner;
 
     if (service == FLOW_NO_SERVICE) {
         return 0;
     }
-    flow_owners(entry->flow, service, hash, &now_owner, &old_owner);
-    u = flow_upstream(entry->flow, now_owner);
+    flow_owners(entry->flow, service, hash, &owner, &old_owner);
+    u = flow_upstream(entry->flow, owner);
     return u ? u->address : 0;
 }
 
-/* Steers by what packets name, with the code of nodes. */
+/* Steers by the evidence token in the packet. */
 static void
 steer_evidence(struct run *r, int n, unsigned index,
                const struct flow_packet *packet)
@@ -283,10 +283,10 @@
     on_forwarded(r, node, index, packet, address, 0);
 }
 
-/* Steers by a naive way: a private record, else the table of the way. */
+/* Steers by an entry's own record of the flow, or by the policy's choice. */
 static void
-steer_naive(struct run *r, int n, unsigned index,
-            const struct flow_packet *packet)
+steer_without_keepers(struct run *r, int n, unsigned index,
+                      const struct flow_packet *packet)
 {
     int node = sim_entry(r->sim, n);
     const struct sim_node *sim_node = &r->sim->nodes[node];
@@ -297,14 +297,14 @@
     if (!sim_node->up || r->sim->now < sim_node->frozen_until) {
         return;
     }
-    if (r->load->way == WAY_EVIDENCE && !r->scene->udp) {
+    if (r->load->policy == POLICY_EVIDENCE && !r->scenario->udp) {
         steer_evidence(r, n, index, packet);
         return;
     }
     address =
         GPOINTER_TO_UINT(g_hash_table_lookup(r->private_records[n], key));
     if (address == 0) {
-        address = r->load->way == WAY_MODULO
+        address = r->load->policy == POLICY_MODULO
                       ? modulo_upstream(sim_node->entry, f->hash)
                       : table_upstream(sim_node->entry, f->hash);
         g_hash_table_insert(r->private_records[n], key,
@@ -315,37 +315,38 @@
     }
 }
 
-/* Sends one packet of a flow through the fabric. */
+/* Sends a packet of a flow to an entry that the fabric lists. */
 static void
 send_packet(struct run *r, unsigned index, bool first)
 {
     struct load_flow *f = &r->flows[index];
     struct flow_packet packet = {.hash = f->hash,
-                                 .first = first && !r->scene->udp};
+                                 .first = first && !r->scenario->udp};
     int n = pick_entry(r);
 
     f->sent++;
     if (n < 0) {
         return;
     }
-    if (r->load->way <= WAY_NO_PUSH) {
-        sim_packet(r->sim, sim_entry(r->sim, n), index, &packet);
+    if (r->load->policy <= POLICY_NO_PUSH) {
+        sim_send_packet(r->sim, sim_entry(r->sim, n), index, &packet);
     }
     else {
-        steer_naive(r, n, index, &packet);
+        steer_without_keepers(r, n, index, &packet);
     }
 }
 
-/* A flow talks. */
+/* Sends a flow's due packet and schedules the next; closes finished short
+ * flows. */
 static void
-talk(struct run *r, unsigned index)
+send_next_packet(struct run *r, unsigned index)
 {
     struct load_flow *f = &r->flows[index];
-    uint64_t mean = f->is_short ? 300 : TALK_MEAN_MS;
+    uint64_t mean = f->is_short ? 300 : PACKET_INTERVAL_MS;
 
     if (f->phase == PHASE_SYN) {
         send_packet(r, index, true);
-        talk_at(r, index, r->sim->now + SYN_AGAIN_MS);
+        schedule_packet(r, index, r->sim->now + SYN_RETRANSMIT_MS);
         return;
     }
     if (f->phase != PHASE_OPEN) {
@@ -357,32 +358,32 @@
         return;
     }
     send_packet(r, index, false);
-    if (!f->silent || f->sent < 3) {
-        talk_at(r, index, r->sim->now + 1 + sim_random(r->sim, 2 * mean));
+    if (!f->idle || f->sent < 3) {
+        schedule_packet(r, index,
+                        r->sim->now + 1 + sim_random(r->sim, 2 * mean));
     }
 }
 
-/* Lets the flows talk whose time has come. */
 static void
-talk_due(struct run *r)
+send_due_packets(struct run *r)
 {
     while (r->timers->len > 0 &&
            g_array_index(r->timers, struct timer, 0).at <= r->sim->now) {
         struct timer t = pop_timer(r);
 
         if (r->flows[t.flow].next_at == t.at) {
-            talk(r, t.flow);
+            send_next_packet(r, t.flow);
         }
     }
 }
 
-/* Submits the next wanted bundle when the last one has settled. */
+/* Submits the next bundle once the last one has settled; signs it off. */
 static void
-tick_bundles(struct run *r)
+submit_next_bundle(struct run *r)
 {
     int leader = sim_leader(r->sim);
     const wire_control_state *state;
-    const struct act *act;
+    const struct load_event *event;
     char id[64];
     char *text;
 
@@ -396,21 +397,21 @@
         }
         return;
     }
-    act = g_queue_peek_head(&r->wanted);
-    if (act == NULL || state->current != r->version ||
+    event = g_queue_peek_head(&r->bundle_queue);
+    if (event == NULL || state->current != r->version ||
         (state->current != 0 && state->step != FLOW_STEP_SETTLED)) {
         return;
     }
-    (void)g_queue_pop_head(&r->wanted);
-    if (act->kind == ACT_WEIGHTS) {
+    (void)g_queue_pop_head(&r->bundle_queue);
+    if (event->kind == LOAD_WEIGHTS) {
         r->weighted = true;
-        (void)g_strlcpy(r->weights, act->states, sizeof(r->weights));
+        (void)g_strlcpy(r->weights, event->states, sizeof(r->weights));
     }
     else {
-        (void)g_strlcpy(r->states, act->states, sizeof(r->states));
+        (void)g_strlcpy(r->states, event->states, sizeof(r->states));
     }
     text = sim_bundle(r->version + 1, r->version, r->states,
-                      r->weighted ? r->weights : NULL, 3, r->scene->udp);
+                      r->weighted ? r->weights : NULL, 3, r->scenario->udp);
     (void)snprintf(id, sizeof(id), "v%llu",
                    (unsigned long long)r->version + 1);
     if (sim_submit(r->sim, text, id, "ana", 0)) {
@@ -422,9 +423,9 @@
     g_free(text);
 }
 
-/* Notes since when leaving upstreams are in force. */
+/* Records when the leaving state of upstreams came into force. */
 static void
-note_leaving(struct run *r)
+record_leaving(struct run *r)
 {
     int leader = sim_leader(r->sim);
 
@@ -443,7 +444,7 @@
     r->out->in_force_ms = r->sim->nodes[leader].core.in_force_ms;
 }
 
-/* Max over mean of open flows per weight, of the serving upstreams. */
+/* Max / mean of open flows per weight of the serving upstreams. */
 static double
 imbalance(const struct run *r)
 {
@@ -464,7 +465,7 @@
     return sum > 0 ? max * weights / sum : 1.0;
 }
 
-/* Starts an entry anew; its private records are gone. */
+/* Starts an entry without flow records. */
 static void
 start_entry(struct run *r, int n)
 {
@@ -476,9 +477,9 @@
     r->listed[n] = true;
 }
 
-/* Ends a planned stop that has cut nothing. */
+/* Terminates entries whose planned stop is complete. */
 static void
-tick_stops(struct run *r)
+finish_stops(struct run *r)
 {
     for (int n = 0; n < r->load->entries; n++) {
         int node = sim_entry(r->sim, n);
@@ -489,110 +490,108 @@
             continue;
         }
         entry_core_deregister(entry, r->sim->now);
-        sim_act(r->sim, node);
+        sim_run_actions(r->sim, node);
         sim_kill(r->sim, node);
         r->stopping[n] = false;
     }
 }
 
-/* An entry of a callback that comes later. */
-struct later {
+/* Argument of a scheduled callback. */
+struct deferred {
     struct run *run;
     int entry;
 };
 
-/* The fabric's list no longer has an entry. */
+/* The fabric removed an entry from its list. */
 static void
 on_unlisted(struct sim *sim, void *data)
 {
-    struct later *later = data;
+    struct deferred *deferred = data;
 
     (void)sim;
-    later->run->listed[later->entry] = false;
-    g_free(later);
+    deferred->run->listed[deferred->entry] = false;
+    g_free(deferred);
 }
 
-/* An entry reaches control again. */
+/* An entry and the control replicas can exchange messages again. */
 static void
-on_mended(struct sim *sim, void *data)
+on_partition_end(struct sim *sim, void *data)
 {
-    struct later *later = data;
+    struct deferred *deferred = data;
 
     for (int i = 0; i < sim->options.controls; i++) {
-        sim_cut(sim, i, sim_entry(sim, later->entry), false);
-        sim_cut(sim, sim_entry(sim, later->entry), i, false);
+        sim_set_link_down(sim, i, sim_entry(sim, deferred->entry), false);
+        sim_set_link_down(sim, sim_entry(sim, deferred->entry), i, false);
     }
-    g_free(later);
+    g_free(deferred);
 }
 
-/* Calls back later about an entry. */
 static void
-call_later(struct run *r, unsigned ms, int entry,
-           void (*call)(struct sim *sim, void *data))
+schedule_for_entry(struct run *r, unsigned ms, int entry,
+                   void (*callback)(struct sim *sim, void *data))
 {
-    struct later *later = g_new(struct later, 1);
+    struct deferred *deferred = g_new(struct deferred, 1);
 
-    later->run = r;
-    later->entry = entry;
-    sim_at(r->sim, r->sim->now + ms, call, later);
+    deferred->run = r;
+    deferred->entry = entry;
+    sim_schedule(r->sim, r->sim->now + ms, callback, deferred);
 }
 
-/* Lets an act happen. */
 static void
-act_now(struct run *r, const struct act *act)
+apply_event(struct run *r, const struct load_event *event)
 {
-    int node = sim_entry(r->sim, act->entry);
+    int node = sim_entry(r->sim, event->entry);
 
-    switch (act->kind) {
-    case ACT_END:
+    switch (event->kind) {
+    case LOAD_END:
         return;
-    case ACT_STATES:
-    case ACT_WEIGHTS:
-        g_queue_push_tail(&r->wanted, (gpointer)act);
+    case LOAD_STATES:
+    case LOAD_WEIGHTS:
+        g_queue_push_tail(&r->bundle_queue, (gpointer)event);
         return;
-    case ACT_KILL:
+    case LOAD_KILL:
         sim_kill(r->sim, node);
-        call_later(r, LIST_LAG_MS, act->entry, on_unlisted);
+        schedule_for_entry(r, FABRIC_LIST_DELAY_MS, event->entry, on_unlisted);
         return;
-    case ACT_START:
-        start_entry(r, act->entry);
+    case LOAD_START:
+        start_entry(r, event->entry);
         return;
-    case ACT_STOP:
+    case LOAD_STOP:
         if (r->sim->nodes[node].up) {
             entry_core_stop(r->sim->nodes[node].entry, r->sim->now);
-            r->stopping[act->entry] = true;
-            call_later(r, LIST_LAG_MS, act->entry, on_unlisted);
+            r->stopping[event->entry] = true;
+            schedule_for_entry(r, FABRIC_LIST_DELAY_MS, event->entry,
+                               on_unlisted);
         }
         return;
-    case ACT_FREEZE:
+    case LOAD_FREEZE:
         sim_freeze(r->sim, node, r->sim->now + 8000);
         return;
-    case ACT_CUT:
+    case LOAD_PARTITION:
         for (int i = 0; i < r->sim->options.controls; i++) {
-            sim_cut(r->sim, i, node, true);
-            sim_cut(r->sim, node, i, true);
+            sim_set_link_down(r->sim, i, node, true);
+            sim_set_link_down(r->sim, node, i, true);
         }
-        call_later(r, 5000, act->entry, on_mended);
+        schedule_for_entry(r, 5000, event->entry, on_partition_end);
         return;
     }
 }
 
-/* Runs a millisecond of load and cluster. */
 static void
 run_ms(struct run *r, uint64_t ms)
 {
-    talk_due(r);
+    send_due_packets(r);
     if (ms % 100 == 0) {
-        tick_bundles(r);
-        note_leaving(r);
+        submit_next_bundle(r);
+        record_leaving(r);
     }
-    tick_stops(r);
+    finish_stops(r);
     sim_run(r->sim, r->sim->now + 1);
 }
 
-/* Greatest control bytes a second of any entry, over a minute or so far. */
+/* Control bytes per second of the entry that sent most. */
 static double
-worst_control(const struct run *r, double seconds)
+max_control_rate(const struct run *r, double seconds)
 {
     double worst = 0;
 
@@ -604,16 +603,15 @@
     return worst;
 }
 
-/* Forgets the byte counts so far. */
 static void
-clear_control(struct run *r)
+reset_control_bytes(struct run *r)
 {
     for (int i = 0; i < r->sim->count; i++) {
         r->sim->nodes[i].control_bytes = 0;
     }
 }
 
-/* Opens the long-lived flows over the warm-up. */
+/* Opens the long-lived flows, spread over the middle of the warm-up. */
 static void
 warm_up(struct run *r)
 {
@@ -631,17 +629,16 @@
     }
 }
 
-/* Runs the scene's acts under load. */
 static void
-run_acts(struct run *r)
+run_events(struct run *r)
 {
-    const struct act *act = r->scene->acts;
+    const struct load_event *event = r->scenario->events;
     unsigned due = 0;
 
-    for (uint64_t ms = 0; ms < r->scene->length_ms; ms++) {
-        while (act < r->scene->acts + ACTS_MAX && act->kind != ACT_END &&
-               ms >= act->at_ms) {
-            act_now(r, act++);
+    for (uint64_t ms = 0; ms < r->scenario->length_ms; ms++) {
+        while (event < r->scenario->events + LOAD_EVENTS_MAX &&
+               event->kind != LOAD_END && ms >= event->at_ms) {
+            apply_event(r, event++);
         }
         due += r->load->new_per_s;
         while (due >= 1000) {
@@ -655,9 +652,9 @@
     }
 }
 
-/* At the end every flow talks, also those that were idle all along. */
+/* Sends packets of all open flows, so that broken idle flows are found too. */
 static void
-ask_all(struct run *r)
+send_to_all_open(struct run *r)
 {
     r->out->imbalance_end = imbalance(r);
     for (int round = 0; round < 3; round++) {
@@ -672,7 +669,7 @@
     }
 }
 
-/* Bytes of an entry's structures for each flow it holds. */
+/* Bytes per flow record, of the entry with the most. */
 static double
 memory_per_flow(const struct run *r)
 {
@@ -689,9 +686,8 @@
     return worst;
 }
 
-/* Prepares a run. */
 static void
-open_run(struct run *r)
+init_run(struct run *r)
 {
     struct sim_options options = {
         .controls = 3,
@@ -700,15 +696,15 @@
         .seed = r->load->seed,
         .delay_ms = r->load->delay_ms,
         .jitter_ms = 1,
-        .push_off = r->load->way == WAY_NO_PUSH,
+        .push_off = r->load->policy == POLICY_NO_PUSH,
         .hooks = {.forwarded = on_forwarded, .data = r}};
 
-    r->size =
-        r->load->flows + r->load->new_per_s * (r->scene->length_ms / 1000 + 1);
+    r->size = r->load->flows +
+              r->load->new_per_s * (r->scenario->length_ms / 1000 + 1);
     options.flow_capacity = 2 * (size_t)r->size;
     r->flows = g_new0(struct load_flow, r->size);
     r->timers = g_array_new(FALSE, FALSE, sizeof(struct timer));
-    r->samples = g_new0(double, r->scene->length_ms / SAMPLE_MS + 2);
+    r->samples = g_new0(double, r->scenario->length_ms / SAMPLE_MS + 2);
     r->sim = sim_new(&options);
     for (int n = 0; n < r->load->entries; n++) {
         r->listed[n] = true;
@@ -721,42 +717,40 @@
     }
 }
 
-/* Frees a run. */
 static void
-close_run(struct run *r)
+free_run(struct run *r)
 {
     for (int n = 0; n < r->load->entries; n++) {
         g_hash_table_destroy(r->private_records[n]);
         flow_evidence_free(r->evidence[n]);
     }
-    g_queue_clear(&r->wanted);
+    g_queue_clear(&r->bundle_queue);
     g_array_free(r->timers, TRUE);
     g_free(r->samples);
     g_free(r->flows);
     sim_free(r->sim);
 }
 
-/* Runs one scene. */
 void
-flow_load_run(const struct flow_load *load, const struct flow_scene *scene,
-              struct flow_result *out)
+flow_load_run(const struct flow_load *load,
+              const struct flow_scenario *scenario, struct flow_result *out)
 {
-    struct run r = {.load = load, .scene = scene, .out = out};
-    struct act first = {.kind = ACT_STATES};
+    struct run r = {.load = load, .scenario = scenario, .out = out};
+    struct load_event first = {.kind = LOAD_STATES};
     char states[UPSTREAMS_MAX + 1];
 
     memset(out, 0, sizeof(*out));
-    open_run(&r);
+    init_run(&r);
     (void)g_strlcpy(states, r.states, sizeof(states));
     first.states = states;
-    g_queue_push_tail(&r.wanted, &first);
+    g_queue_push_tail(&r.bundle_queue, &first);
     warm_up(&r);
-    out->control_idle = worst_control(&r, WARM_UP_MS / 1000.0);
-    clear_control(&r);
-    run_acts(&r);
+    out->control_idle = max_control_rate(&r, WARM_UP_MS / 1000.0);
+    reset_control_bytes(&r);
+    run_events(&r);
     out->control_worst =
-        worst_control(&r, MAX(60.0, scene->length_ms / 1000.0));
-    ask_all(&r);
+        max_control_rate(&r, MAX(60.0, scenario->length_ms / 1000.0));
+    send_to_all_open(&r);
     out->memory_per_flow = memory_per_flow(&r);
     out->hops_percent = r.sim->packets ? 100.0 * (double)r.sim->packet_hops /
                                              (double)r.sim->packets
@@ -766,15 +760,15 @@
         out->imbalance_median = r.samples[r.sample_count / 2];
         out->imbalance_worst = r.samples[r.sample_count - 1];
     }
-    close_run(&r);
+    free_run(&r);
 }
 
-/* Changes the states of upstreams as an operator may: one starts or ceases
- * to leave, or one joins; never more than three leave at once. */
+/* Changes the state of a random upstream to leaving or serving; at most three
+ * are leaving. */
 static void
 change_states(struct sim *random, char *states)
 {
-    size_t i = sim_random(random, UPSTREAMS_IN_MIX);
+    size_t i = sim_random(random, MIX_UPSTREAMS);
     int leaving = 0;
 
     for (const char *s = states; *s != '\0'; s++) {
@@ -788,43 +782,46 @@
     }
 }
 
-/* Makes a scene of random acts: bundles that drain, return and join; entries
- * that stop, die, freeze and start. */
+/* Mixes bundles that change states with stopped, killed, frozen, partitioned
+ * and restarted entries. */
 void
-flow_load_mix(uint64_t seed, int entries, struct flow_scene *out,
-              char states[ACTS_MAX][UPSTREAMS_IN_MIX + 1], bool views_apart)
-{
-    static const enum act_kind kinds[] = {ACT_STATES, ACT_STOP,   ACT_KILL,
-                                          ACT_STATES, ACT_FREEZE, ACT_STATES};
+flow_load_random_scenario(uint64_t seed, int entries,
+                          struct flow_scenario *out,
+                          char states[LOAD_EVENTS_MAX][MIX_UPSTREAMS + 1],
+                          bool partitions)
+{
+    static const enum load_event_kind kinds[] = {LOAD_STATES, LOAD_STOP,
+                                                 LOAD_KILL,   LOAD_STATES,
+                                                 LOAD_FREEZE, LOAD_STATES};
     struct sim random = {.random = seed * 7919};
-    char now[UPSTREAMS_IN_MIX + 1] = "ssssssssssssss--";
+    char now[MIX_UPSTREAMS + 1] = "ssssssssssssss--";
     uint64_t at = 1000;
     int gone = -1;
 
     memset(out, 0, sizeof(*out));
     out->name = "mix";
     out->length_ms = 45000;
-    for (int i = 0; i < ACTS_MAX - 2 && at < 30000; i++) {
-        struct act *act = &out->acts[i];
-
-        act->at_ms = (unsigned)at;
-        act->kind = kinds[sim_random(&random, G_N_ELEMENTS(kinds))];
-        act->entry = (int)sim_random(&random, (uint64_t)entries);
-        if (views_apart && sim_random(&random, 4) == 0) {
-            act->kind = ACT_CUT;
+    for (int i = 0; i < LOAD_EVENTS_MAX - 2 && at < 30000; i++) {
+        struct load_event *event = &out->events[i];
+
+        event->at_ms = (unsigned)at;
+        event->kind = kinds[sim_random(&random, G_N_ELEMENTS(kinds))];
+        event->entry = (int)sim_random(&random, (uint64_t)entries);
+        if (partitions && sim_random(&random, 4) == 0) {
+            event->kind = LOAD_PARTITION;
         }
         else if (gone >= 0 && sim_random(&random, 2) == 0) {
-            act->kind = ACT_START;
-            act->entry = gone;
+            event->kind = LOAD_START;
+            event->entry = gone;
             gone = -1;
         }
-        if (act->kind == ACT_STATES) {
+        if (event->kind == LOAD_STATES) {
             change_states(&random, now);
-            (void)g_strlcpy(states[i], now, UPSTREAMS_IN_MIX + 1);
-            act->states = states[i];
+            (void)g_strlcpy(states[i], now, MIX_UPSTREAMS + 1);
+            event->states = states[i];
         }
-        if (act->kind == ACT_KILL || act->kind == ACT_STOP) {
-            gone = act->entry;
+        if (event->kind == LOAD_KILL || event->kind == LOAD_STOP) {
+            gone = event->entry;
         }
         at += 500 + sim_random(&random, 6000);
     }
--- a/tests/flow-load.h
+++ b/tests/flow-load.h
@@ -1,8 +1,8 @@
 /**
  * @file flow-load.h
- * Flows of callers over a simulated cluster, and the ways of steering that
- * are compared: ours, parts of it, and naive ones. Used by the tests and by
- * the measurement tool.
+ * Load of TCP and UDP flows over the simulated cluster (sim.h), with changes
+ * of the bundle and injected faults: steering with keepers, compared with
+ * simpler policies.
  */
 #ifndef RIDGERIDGE_FLOW_LOAD_H
 #define RIDGERIDGE_FLOW_LOAD_H
@@ -10,80 +10,82 @@
 #include "sim.h"
 
 /* How packets are steered. */
-enum way {
-    WAY_KEEPERS,    /* ours */
-    WAY_NO_PUSH,    /* ours, but records are never pushed to keepers */
-    WAY_CONSISTENT, /* our table, private records, no keepers */
-    WAY_MODULO,     /* hash modulo serving upstreams, private records */
-    WAY_EVIDENCE,   /* the caller's packets name the upstream, by the code of
-                       nodes (TCP only) */
-    WAY_COUNT
+enum flow_policy {
+    POLICY_KEEPERS,    /* Maglev table, records at keepers */
+    POLICY_NO_PUSH,    /* the same, records stay at their entry */
+    POLICY_CONSISTENT, /* Maglev table, records of the entry only */
+    POLICY_MODULO,     /* hash modulo serving upstreams, records as above */
+    POLICY_EVIDENCE,   /* evidence tokens in packets (TCP only) */
+    POLICY_COUNT
 };
 
-/* What happens at a time. */
-enum act_kind {
-    ACT_END,
-    ACT_STATES, /* a bundle with these states of upstreams */
-    ACT_KILL,   /* entry: kill -9 */
-    ACT_START,  /* entry: start again */
-    ACT_STOP,   /* entry: planned stop */
-    ACT_FREEZE, /* entry: for 8 s */
-    ACT_CUT,    /* entry: from control, for 5 s */
-    ACT_WEIGHTS /* a bundle with these weights, digits of tens */
+/* Kind of a change of the cluster. */
+enum load_event_kind {
+    LOAD_END,
+    LOAD_STATES,    /* submits a bundle with these upstream states */
+    LOAD_KILL,      /* entry: SIGKILL */
+    LOAD_START,     /* entry: restart */
+    LOAD_STOP,      /* entry: planned stop */
+    LOAD_FREEZE,    /* entry: for 8 s */
+    LOAD_PARTITION, /* entry: from all control replicas, for 5 s */
+    LOAD_WEIGHTS    /* the same with weights: digits, in units of 10 */
 };
 
-struct act {
+struct load_event {
     unsigned at_ms; /* from the end of the warm-up */
-    enum act_kind kind;
-    int entry;
-    const char *states;
+    enum load_event_kind kind;
+    int entry;          /* from 0 */
+    const char *states; /* or weights, one character per upstream */
 };
 
-#define ACTS_MAX 16
+#define LOAD_EVENTS_MAX 16
 
-struct flow_scene {
+struct flow_scenario {
     const char *name;
-    struct act acts[ACTS_MAX];
+    struct load_event events[LOAD_EVENTS_MAX];
     unsigned length_ms; /* after the warm-up */
     bool udp;
 };
 
 struct flow_load {
-    enum way way;
+    enum flow_policy policy;
     uint64_t seed;
-    int upstreams; /* at first */
+    int upstreams; /* in the first bundle */
     int entries, halls;
     unsigned delay_ms;  /* between halls */
-    unsigned rtt_ms;    /* caller to upstream and back */
+    unsigned rtt_ms;    /* from caller to upstream and back */
     unsigned flows;     /* long-lived */
-    unsigned new_per_s; /* short ones, of about ten packets */
-    const char *states; /* at first, NULL: all serving */
+    unsigned new_per_s; /* short flows of 10 packets */
+    const char *states; /* in the first bundle, NULL: all serving */
 };
 
 struct flow_result {
     unsigned opened, established;
-    unsigned broken;          /* established flows that broke */
-    unsigned late_at_leaving; /* new at a leaving upstream after 3 s */
+    unsigned broken;          /* a packet reached another upstream */
+    unsigned late_at_leaving; /* new, at an upstream leaving for 3 s */
+    /* max / mean of open flows per weight of serving upstreams */
     double imbalance_median, imbalance_worst, imbalance_end;
-    double hops_percent;  /* packets handed on */
-    double control_worst; /* bytes/s of an entry in its worst minute */
-    double control_idle;  /* bytes/s of an entry before the first act */
-    double memory_per_flow;
-    uint64_t in_force_ms; /* last roll-out */
+    double hops_percent; /* packets forwarded to another entry */
+    double
+        control_worst;   /* bytes/s of the busiest entry, over at least 60 s */
+    double control_idle; /* bytes/s of the busiest entry in the warm-up */
+    double memory_per_flow; /* bytes */
+    uint64_t in_force_ms;   /* roll-out time of the last bundle */
     char first_broken[160];
 };
 
-/* Runs one scene. */
 void flow_load_run(const struct flow_load *load,
-                   const struct flow_scene *scene, struct flow_result *out);
+                   const struct flow_scenario *scenario,
+                   struct flow_result *out);
 
-#define UPSTREAMS_IN_MIX 16
+#define MIX_UPSTREAMS 16
 
-/* A scene of random acts, which points into `states`. */
-void flow_load_mix(uint64_t seed, int entries, struct flow_scene *out,
-                   char states[ACTS_MAX][UPSTREAMS_IN_MIX + 1],
-                   bool views_apart);
+/* Generates a scenario of random events, which points into `states`. */
+void flow_load_random_scenario(uint64_t seed, int entries,
+                               struct flow_scenario *out,
+                               char states[LOAD_EVENTS_MAX][MIX_UPSTREAMS + 1],
+                               bool partitions);
 
-const char *flow_load_way(enum way way);
+const char *flow_load_policy_name(enum flow_policy policy);
 
 #endif
--- a/tests/fuzz-input.c
+++ b/tests/fuzz-input.c
@@ -1,11 +1,11 @@
-/*
- * A target for libFuzzer: each reader of bytes that strangers send to a node.
- * The first byte of an input picks the reader. `make fuzz` builds it with
- * clang, then
+/**
+ * @file fuzz-input.c
+ * libFuzzer target for the parsers of untrusted input. The first byte of an
+ * input selects the parser. `make fuzz` builds it with clang; run it with
  *
  *   build-fuzz/fuzz-input -max_total_time=60 build-fuzz/found tests/corpus
  *
- * What it finds is kept in tests/corpus, whose files test-input reads too.
+ * and copy inputs that crash a parser to tests/corpus, which test-input reads.
  */
 #include <glib.h>
 #include <string.h>
@@ -16,23 +16,23 @@
 #include "platform/platform.h"
 #include "route-wire.h"
 
-/* Which reader: the remainder of the first byte by their count. */
-enum reader {
-    READER_PACKET,
-    READER_REGISTRATION,
-    READER_ID,
-    READER_TABLE,
-    READER_MESSAGE,
-    READER_SETTINGS,
-    READER_ROUTES,
-    READER_END,
-    READER_HALL,
-    READER_COUNT
+/* Selected by the first byte modulo PARSER_COUNT. */
+enum parser {
+    PARSER_PACKET,
+    PARSER_REGISTRATION,
+    PARSER_ID,
+    PARSER_TABLE,
+    PARSER_MESSAGE,
+    PARSER_SETTINGS,
+    PARSER_ROUTES,
+    PARSER_DEREGISTRATION,
+    PARSER_HALL,
+    PARSER_COUNT
 };
 
-/* Reads an upstream's registration; the id ends at the first line's end. */
+/* The first line is the upstream's id, the rest its registration. */
 static void
-read_registration(const char *text, size_t length)
+parse_registration(const char *text, size_t length)
 {
     const char *end = memchr(text, '\n', length);
     struct upstream_registration registration;
@@ -48,9 +48,8 @@
     g_free(id);
 }
 
-/* Reads a message between nodes. */
 static void
-read_message(const uint8_t *bytes, size_t length)
+parse_message(const uint8_t *bytes, size_t length)
 {
     wire_msg msg;
 
@@ -59,9 +58,8 @@
     }
 }
 
-/* Reads settings. */
 static void
-read_settings(const char *text, size_t length)
+parse_settings(const char *text, size_t length)
 {
     struct node_settings settings;
     struct status st = {STATUS_OK, ""};
@@ -72,7 +70,6 @@
     }
 }
 
-/* Reads one input; libFuzzer's name. */
 int
 LLVMFuzzerTestOneInput(const uint8_t *bytes, size_t size)
 {
@@ -85,39 +82,39 @@
     if (size < 1) {
         return 0;
     }
-    /* Readers of text are given a string that ends. */
+    /* Some parsers need a terminated string. */
     text = g_strndup((const char *)bytes + 1, size - 1);
-    switch ((enum reader)(bytes[0] % READER_COUNT)) {
-    case READER_PACKET:
+    switch ((enum parser)(bytes[0] % PARSER_COUNT)) {
+    case PARSER_PACKET:
         (void)platform_read_packet(bytes + 1, size - 1, &packet);
         break;
-    case READER_REGISTRATION:
-        read_registration((const char *)bytes + 1, size - 1);
+    case PARSER_REGISTRATION:
+        parse_registration((const char *)bytes + 1, size - 1);
         break;
-    case READER_ID:
+    case PARSER_ID:
         (void)platform_read_id(text, &id, &st);
         break;
-    case READER_TABLE:
+    case PARSER_TABLE:
         route_free(
             platform_read_table((const char *)bytes + 1, size - 1, &st));
         break;
-    case READER_MESSAGE:
-        read_message(bytes + 1, size - 1);
+    case PARSER_MESSAGE:
+        parse_message(bytes + 1, size - 1);
         break;
-    case READER_SETTINGS:
-        read_settings(text, strlen(text));
+    case PARSER_SETTINGS:
+        parse_settings(text, strlen(text));
         break;
-    case READER_ROUTES:
+    case PARSER_ROUTES:
         route_free(route_decode(bytes + 1, size - 1));
         break;
-    case READER_END:
+    case PARSER_DEREGISTRATION:
         (void)platform_read_deregistration((const char *)bytes + 1, size - 1,
                                            &born, &st);
         break;
-    case READER_HALL:
+    case PARSER_HALL:
         (void)hall_is_name(text);
         break;
-    case READER_COUNT:
+    case PARSER_COUNT:
         break;
     }
     g_free(text);
--- a/tests/fuzz-input.h
+++ b/tests/fuzz-input.h
@@ -1,6 +1,6 @@
 /**
  * @file fuzz-input.h
- * The fuzzing target, so that the tests can read its corpus.
+ * libFuzzer target for the parsers of untrusted input, also used by tests.
  */
 #ifndef RIDGERIDGE_FUZZ_INPUT_H
 #define RIDGERIDGE_FUZZ_INPUT_H
@@ -8,7 +8,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/** Reads one input; the first byte picks the reader. Always 0. */
+/** Parses an input, whose first byte selects the parser. Returns 0. */
 int LLVMFuzzerTestOneInput(const uint8_t *bytes, size_t size);
 
 #endif
--- a/tests/request-load.c
+++ b/tests/request-load.c
@@ -1,4 +1,8 @@
-/* Requests of callers over a simulated cluster. */
+/**
+ * @file request-load.c
+ * Open-loop request load over the simulated cluster: callers that retry,
+ * entries that fail, and upstreams with a limited number of slots.
+ */
 #include "median.h"
 #include "request-load.h"
 
@@ -11,64 +15,62 @@
 
 #define WARM_UP_MS 6000
 #define DEADLINE_MS 5000
-#define GIVE_UP_MS 1500 /* a caller asks another entry after so long */
+#define CALLER_TIMEOUT_MS 1500 /* then the caller tries another entry */
 #define UPSTREAMS_MAX 32
-#define LOADS_AGE_MS 10000
+#define REPORT_INTERVAL_MS 10000
 #define SAMPLE_MS 20
 
-/* One request of a caller, however often it is sent. */
-struct call {
+/* A request of a caller; all its attempts share the idempotency key. */
+struct caller_request {
     uint64_t id; /* from 1; also its key */
     bool safe;
     uint64_t sent_at;
     uint64_t deadline;
-    unsigned runs; /* at upstreams */
+    unsigned runs; /* executions at upstreams, started */
     unsigned running;
-    bool settled;   /* answered, or given up */
-    bool returning; /* came back after a refusal */
+    bool settled; /* answered, refused, unknown or lost */
+    bool retried_after_refusal;
     unsigned attempts;
     double service_ms;
 };
 
-/* One sending of a request to an entry. */
+/* A request as sent to one entry. */
 struct attempt {
-    uint64_t call;
+    uint64_t request;
     int node;
-    uint64_t entry_start; /* id of the entry's start */
+    uint64_t entry_start; /* the entry's id, new at each start */
     bool refused;
     bool ended;
-    int tries; /* naive: upstreams tried */
+    int upstream_attempts; /* without a gate */
 };
 
-/* One upstream. */
 struct upstream {
-    unsigned busy;
-    unsigned reported; /* load of some time ago */
-    GQueue queue;      /* struct execution: waits, in the naive ways */
+    unsigned busy;     /* slots */
+    unsigned reported; /* busy at the last report */
+    GQueue queue;      /* struct execution, without a gate */
     uint64_t frozen_until, shed_until;
     bool leaving;
     uint64_t left_at;
 };
 
-/* One execution at an upstream. */
+/* An attempt at an upstream. */
 struct execution {
     struct run *run;
     uint64_t attempt;
     int upstream;
     int node;
     uint64_t entry_start;
-    bool cut;
+    bool truncated;
     bool cancelled;
 };
 
-/* A run. */
 struct run {
     const struct request_load *load;
     struct request_result *out;
     struct sim *sim;
-    GArray *calls;    /* struct call */
+    GArray *requests; /* struct caller_request */
     GArray *attempts; /* struct attempt */
-    GArray *waits;    /* double */
+    GArray *waits;    /* double: ms, without service time */
     struct upstream upstreams[UPSTREAMS_MAX];
     unsigned outstanding[SIM_ENTRIES_MAX][UPSTREAMS_MAX];
     bool listed[SIM_ENTRIES_MAX];
@@ -76,41 +78,37 @@
     double busy_ratio_sum;
     unsigned busy_samples;
     unsigned busy_second[UPSTREAMS_MAX]; /* sums over a second */
-    double work_ms; /* service time of answered requests */
+    double work_ms;                      /* of answered requests */
     int next_stop;
     bool measuring;
 };
 
-/* Names a way. */
 const char *
-request_load_way(enum request_way way)
+request_load_policy_name(enum request_policy policy)
 {
-    static const char *const names[REQ_WAYS] = {"gate", "naive", "random",
-                                                "two-choice"};
+    static const char *const names[REQ_POLICIES] = {"gate", "naive", "random",
+                                                    "two-choice"};
 
-    return names[way];
+    return names[policy];
 }
 
-/* Names a trouble. */
 const char *
-request_load_trouble(enum request_trouble trouble)
+request_load_fault_name(enum request_fault fault)
 {
-    static const char *const names[REQ_TROUBLES] = {
+    static const char *const names[REQ_FAULTS] = {
         "calm",         "kill-entry", "kill-two",  "freeze-entry",
         "stop-entries", "cut-entry",  "freeze-up", "shed-storm",
         "cut-answers",  "drain+join", "epochs"};
 
-    return names[trouble];
+    return names[fault];
 }
 
-/* A request by its number. */
-static struct call *
-call_at(const struct run *r, uint64_t id)
+static struct caller_request *
+caller_request_at(const struct run *r, uint64_t id)
 {
-    return &g_array_index(r->calls, struct call, id - 1);
+    return &g_array_index(r->requests, struct caller_request, id - 1);
 }
 
-/* A sending by its number. */
 static struct attempt *
 attempt_at(const struct run *r, uint64_t id)
 {
@@ -126,133 +124,135 @@
     return -mean * log(u);
 }
 
-static void send_call(struct run *r, uint64_t id);
+static void send_request(struct run *r, uint64_t id);
 
-/* A callback about a number. */
-struct later {
+/* Argument of a scheduled callback. */
+struct deferred {
     struct run *run;
-    uint64_t number;
+    uint64_t number; /* id of a request or an attempt */
 };
 
-/* Calls back later about a number. */
 static void
-call_later(struct run *r, uint64_t ms, uint64_t number,
-           void (*call)(struct sim *sim, void *data))
+schedule(struct run *r, uint64_t ms, uint64_t number,
+         void (*callback)(struct sim *sim, void *data))
 {
-    struct later *later = g_new(struct later, 1);
+    struct deferred *deferred = g_new(struct deferred, 1);
 
-    later->run = r;
-    later->number = number;
-    sim_at(r->sim, r->sim->now + ms, call, later);
+    deferred->run = r;
+    deferred->number = number;
+    sim_schedule(r->sim, r->sim->now + ms, callback, deferred);
 }
 
-/* Ends a request. */
 static void
-settle(struct run *r, struct call *call)
+settle(struct run *r, struct caller_request *request)
 {
     (void)r;
-    call->settled = true;
+    request->settled = true;
 }
 
-/* A caller comes back after a refusal, as it was told. */
+/* A caller retries a refused request after its Retry-After. */
 static void
-on_return(struct sim *sim, void *data)
+on_retry_after(struct sim *sim, void *data)
 {
-    struct later *later = data;
-    struct call *call = call_at(later->run, later->number);
+    struct deferred *deferred = data;
+    struct caller_request *request =
+        caller_request_at(deferred->run, deferred->number);
 
-    call->deadline = sim->now + DEADLINE_MS;
-    call->sent_at = sim->now;
-    call->returning = true;
-    later->run->out->returned++;
-    send_call(later->run, later->number);
-    g_free(later);
+    request->deadline = sim->now + DEADLINE_MS;
+    request->sent_at = sim->now;
+    request->retried_after_refusal = true;
+    deferred->run->out->returned++;
+    send_request(deferred->run, deferred->number);
+    g_free(deferred);
 }
 
-/* A caller got a whole answer. */
+/* A caller received a complete response. */
 static void
-take_answer(struct run *r, struct call *call, const char *body)
+receive_response(struct run *r, struct caller_request *request,
+                 const char *body)
 {
     char own[32];
 
-    (void)snprintf(own, sizeof(own), "%llu", (unsigned long long)call->id);
+    (void)snprintf(own, sizeof(own), "%llu", (unsigned long long)request->id);
     if (strcmp(body, own) != 0) {
         r->out->wrong++;
     }
-    if (call->settled) {
+    if (request->settled) {
         return;
     }
-    settle(r, call);
+    settle(r, request);
     r->out->answered++;
-    r->out->returned_ok += call->returning;
+    r->out->returned_ok += request->retried_after_refusal;
     if (r->measuring) {
-        double wait = (double)(r->sim->now - call->sent_at) - call->service_ms;
+        double wait =
+            (double)(r->sim->now - request->sent_at) - request->service_ms;
 
         g_array_append_val(r->waits, wait);
-        r->work_ms += call->service_ms;
+        r->work_ms += request->service_ms;
     }
 }
 
-/* A caller was refused. */
 static void
-take_refusal(struct run *r, struct call *call, struct attempt *attempt,
-             uint32_t retry_ms)
+receive_refusal(struct run *r, struct caller_request *request,
+                struct attempt *attempt, uint32_t retry_ms)
 {
     attempt->refused = true;
-    if (call->runs > 0 && !call->safe) {
+    if (request->runs > 0 && !request->safe) {
         r->out->false_not_run++;
     }
-    if (call->settled) {
+    if (request->settled) {
         return;
     }
     r->out->not_run++;
-    if (!call->returning && retry_ms > 0 && r->load->overload > 0) {
-        call_later(r, retry_ms, call->id, on_return);
+    if (!request->retried_after_refusal && retry_ms > 0 &&
+        r->load->overload > 0) {
+        schedule(r, retry_ms, request->id, on_retry_after);
         return;
     }
-    settle(r, call);
+    settle(r, request);
 }
 
-/* The core answered an attempt. */
+/* The entry responded to an attempt. */
 static void
-on_answered(void *data, int node, const struct entry_action *action)
+on_respond(void *data, int node, const struct entry_action *action)
 {
     struct run *r = data;
     struct attempt *attempt = attempt_at(r, action->token);
-    struct call *call = call_at(r, attempt->call);
+    struct caller_request *request = caller_request_at(r, attempt->request);
     char body[64] = "";
 
     (void)node;
     attempt->ended = true;
-    if (action->rule == RULE_NO_LEASE && call->attempts < 8) {
-        /* The shell hands the request to a peer. */
-        send_call(r, attempt->call);
+    if (action->rule == RULE_NO_LEASE && request->attempts < 8) {
+        /* A real entry forwards the request to a peer. */
+        send_request(r, attempt->request);
         return;
     }
-    if (action->outcome.kind != WIRE_OUTCOME_ANSWERED && !call->settled) {
+    if (action->outcome.kind != WIRE_OUTCOME_ANSWERED && !request->settled) {
         r->out->rules[action->rule]++;
     }
     switch (action->outcome.kind) {
     case WIRE_OUTCOME_ANSWERED:
         memcpy(body, action->outcome.body.body_val,
                MIN(action->outcome.body.body_len, sizeof(body) - 1));
-        take_answer(r, call, body);
+        receive_response(r, request, body);
         return;
     case WIRE_OUTCOME_NOT_RUN:
-        take_refusal(r, call, attempt, action->outcome.retry_ms);
+        receive_refusal(r, request, attempt, action->outcome.retry_ms);
         return;
     case WIRE_OUTCOME_UNKNOWN:
-        if (!call->settled) {
+        if (!request->settled) {
             r->out->unknown++;
-            settle(r, call);
+            settle(r, request);
         }
         return;
     }
 }
 
-/* Tells the coordinator how an execution ended. */
+/* Reports the result of an execution to the entry that dispatched it, unless
+ * the entry has restarted. */
 static void
-tell_coordinator(struct run *r, struct execution *e, enum gate_result result)
+notify_coordinator(struct run *r, struct execution *e, enum gate_result result)
 {
     struct sim_node *node = &r->sim->nodes[e->node];
     const struct attempt *attempt = attempt_at(r, e->attempt);
@@ -263,98 +263,99 @@
         return;
     }
     (void)snprintf(body, sizeof(body), "%llu",
-                   (unsigned long long)attempt->call);
+                   (unsigned long long)attempt->request);
     reply.length = strlen(body);
     entry_core_handle_response(node->entry, r->sim->now,
                                SIM_WALL + r->sim->now, e->attempt, result,
                                &reply);
-    sim_act(r->sim, e->node);
+    sim_run_actions(r->sim, e->node);
 }
 
-static void naive_ended(struct run *r, struct execution *e,
-                        enum gate_result result);
+static void end_without_gate(struct run *r, struct execution *e,
+                             enum gate_result result);
 static void run_request(struct run *r, struct execution *e);
 
-/* An upstream has done its work. */
+/* An upstream finished an execution. A frozen upstream or entry delays it. */
 static void
-on_executed(struct sim *sim, void *data)
+on_execution_end(struct sim *sim, void *data)
 {
     struct execution *e = data;
     struct run *r = e->run;
     struct upstream *u = &r->upstreams[e->upstream];
-    enum gate_result result = e->cut ? GATE_FAILED : GATE_ANSWERED;
+    enum gate_result result = e->truncated ? GATE_FAILED : GATE_ANSWERED;
 
     if (sim->now < u->frozen_until) {
-        sim_at(sim, u->frozen_until, on_executed, e);
+        sim_schedule(sim, u->frozen_until, on_execution_end, e);
         return;
     }
     if (sim->now < sim->nodes[e->node].frozen_until) {
-        sim_at(sim, sim->nodes[e->node].frozen_until, on_executed, e);
+        sim_schedule(sim, sim->nodes[e->node].frozen_until, on_execution_end,
+                     e);
         return;
     }
     u->busy--;
-    call_at(r, attempt_at(r, e->attempt)->call)->running--;
+    caller_request_at(r, attempt_at(r, e->attempt)->request)->running--;
     if (u->queue.length > 0) {
         run_request(r, g_queue_pop_head(&u->queue));
     }
-    if (r->load->way == REQ_GATE) {
-        tell_coordinator(r, e, result);
+    if (r->load->policy == REQ_GATE) {
+        notify_coordinator(r, e, result);
     }
     else {
-        naive_ended(r, e, result);
+        end_without_gate(r, e, result);
     }
     g_free(e);
 }
 
-/* An upstream shed, after the way there and back. */
+/* The rejection by an upstream reached the entry. */
 static void
-on_shed(struct sim *sim, void *data)
+on_execution_shed(struct sim *sim, void *data)
 {
     struct execution *e = data;
 
     (void)sim;
-    if (e->run->load->way == REQ_GATE) {
-        tell_coordinator(e->run, e, GATE_SHED);
+    if (e->run->load->policy == REQ_GATE) {
+        notify_coordinator(e->run, e, GATE_SHED);
     }
     else {
-        naive_ended(e->run, e, GATE_SHED);
+        end_without_gate(e->run, e, GATE_SHED);
     }
     g_free(e);
 }
 
-/* An upstream begins a request. */
+/* Starts an execution in a slot of its upstream. */
 static void
 run_request(struct run *r, struct execution *e)
 {
     struct upstream *u = &r->upstreams[e->upstream];
     struct attempt *attempt = attempt_at(r, e->attempt);
-    struct call *call = call_at(r, attempt->call);
+    struct caller_request *request = caller_request_at(r, attempt->request);
 
     u->busy++;
-    call->runs++;
-    call->running++;
-    if (call->runs > 1 && !call->safe) {
-        r->out->run_twice += call->runs == 2;
+    request->runs++;
+    request->running++;
+    if (request->runs > 1 && !request->safe) {
+        r->out->run_twice += request->runs == 2;
     }
-    if (attempt->refused && !call->safe) {
+    if (attempt->refused && !request->safe) {
         r->out->run_after_refusal++;
     }
     if (u->leaving && u->left_at != 0 && r->sim->now > u->left_at + 3000) {
         r->out->late_at_leaving++;
     }
-    call->service_ms = exponential(r->sim, r->load->service_ms);
-    e->cut =
-        r->load->trouble == REQ_CUT_ANSWERS && sim_random(r->sim, 20) == 0;
-    sim_at(r->sim,
-           r->sim->now + 2 * r->load->delay_ms + (uint64_t)call->service_ms +
-               1,
-           on_executed, e);
+    request->service_ms = exponential(r->sim, r->load->service_ms);
+    e->truncated = r->load->fault == REQ_TRUNCATE_RESPONSES &&
+                   sim_random(r->sim, 20) == 0;
+    sim_schedule(r->sim,
+                 r->sim->now + 2 * r->load->delay_ms +
+                     (uint64_t)request->service_ms + 1,
+                 on_execution_end, e);
 }
 
-/* An upstream gets a request: it runs it, sheds it, or, in the ways that
- * choose without knowing, lets it wait. */
+/* Sends an attempt to an upstream, which runs it, sheds it, or queues it with
+ * the policies that never retry. */
 static void
-execute(struct run *r, uint64_t token, int node, int upstream)
+send_to_upstream(struct run *r, uint64_t token, int node, int upstream)
 {
     struct upstream *u = &r->upstreams[upstream];
     struct execution *e = g_new0(struct execution, 1);
@@ -367,30 +368,31 @@
     if (u->busy < (unsigned)r->load->slots && r->sim->now >= u->shed_until) {
         run_request(r, e);
     }
-    else if (r->load->way == REQ_RANDOM || r->load->way == REQ_TWO_CHOICE) {
+    else if (r->load->policy == REQ_RANDOM ||
+             r->load->policy == REQ_TWO_CHOICE) {
         g_queue_push_tail(&u->queue, e);
     }
     else {
-        sim_at(r->sim, r->sim->now + 2 * r->load->delay_ms + 1, on_shed, e);
+        sim_schedule(r->sim, r->sim->now + 2 * r->load->delay_ms + 1,
+                     on_execution_shed, e);
     }
 }
 
-/* The core dispatched an attempt, or cancelled it (the upstream goes on). */
+/* Upstreams ignore aborts: an execution runs to its end. */
 static void
 on_dispatched(void *data, int node, const struct entry_action *action)
 {
     struct run *r = data;
 
     if (action->kind == ENTRY_DISPATCH) {
-        execute(r, action->token, node, (int)(action->address & 0xff) - 1);
+        send_to_upstream(r, action->token, node,
+                         (int)(action->address & 0xff) - 1);
     }
 }
 
-/* ---- naive ways ---- */
-
-/* Picks an upstream for a naive way. */
+/* ---- policies without a gate ---- */
 static int
-naive_choice(struct run *r, int n)
+choose_upstream(struct run *r, int n)
 {
     int serving[UPSTREAMS_MAX] = {0};
     int count = 0;
@@ -404,7 +406,7 @@
     }
     a = serving[sim_random(r->sim, (uint64_t)count)];
     b = serving[sim_random(r->sim, (uint64_t)count)];
-    if (r->load->way == REQ_TWO_CHOICE &&
+    if (r->load->policy == REQ_TWO_CHOICE &&
         r->outstanding[n][b] * 11 + r->upstreams[b].reported <
             r->outstanding[n][a] * 11 + r->upstreams[a].reported) {
         return b;
@@ -412,25 +414,24 @@
     return a;
 }
 
-/* Sends an attempt to an upstream in a naive way. */
 static void
-naive_dispatch(struct run *r, uint64_t token)
+dispatch_without_gate(struct run *r, uint64_t token)
 {
     struct attempt *attempt = attempt_at(r, token);
     int n = attempt->node - r->sim->options.controls;
-    int upstream = naive_choice(r, n);
+    int upstream = choose_upstream(r, n);
 
-    attempt->tries++;
+    attempt->upstream_attempts++;
     r->outstanding[n][upstream]++;
-    execute(r, token, attempt->node, upstream);
+    send_to_upstream(r, token, attempt->node, upstream);
 }
 
-/* An execution ended: answer, or try again. */
+/* An execution ended: responds to the caller, or retries. */
 static void
-naive_ended(struct run *r, struct execution *e, enum gate_result result)
+end_without_gate(struct run *r, struct execution *e, enum gate_result result)
 {
     struct attempt *attempt = attempt_at(r, e->attempt);
-    struct call *call = call_at(r, attempt->call);
+    struct caller_request *request = caller_request_at(r, attempt->request);
     struct sim_node *node = &r->sim->nodes[e->node];
     char body[32];
 
@@ -441,69 +442,68 @@
     if (result == GATE_ANSWERED) {
         attempt->ended = true;
         (void)snprintf(body, sizeof(body), "%llu",
-                       (unsigned long long)attempt->call);
-        take_answer(r, call, body);
+                       (unsigned long long)attempt->request);
+        receive_response(r, request, body);
         return;
     }
-    if (r->load->way == REQ_NAIVE && attempt->tries < 4) {
+    if (r->load->policy == REQ_NAIVE && attempt->upstream_attempts < 4) {
         r->out->retried++;
-        naive_dispatch(r, e->attempt);
+        dispatch_without_gate(r, e->attempt);
         return;
     }
     attempt->ended = true;
     if (result == GATE_SHED) {
-        take_refusal(r, call, attempt, 1000);
+        receive_refusal(r, request, attempt, 1000);
     }
-    else if (!call->settled) {
+    else if (!request->settled) {
         r->out->unknown++;
-        settle(r, call);
+        settle(r, request);
     }
 }
 
 /* ---- callers ---- */
 
-/* A caller that heard nothing asks another entry, with the same key. */
+/* A caller without a response retries at another entry with the same key. */
 static void
-on_silence(struct sim *sim, void *data)
+on_timeout(struct sim *sim, void *data)
 {
-    struct later *later = data;
-    struct run *r = later->run;
-    struct attempt *attempt = attempt_at(r, later->number);
-    struct call *call = call_at(r, attempt->call);
+    struct deferred *deferred = data;
+    struct run *r = deferred->run;
+    struct attempt *attempt = attempt_at(r, deferred->number);
+    struct caller_request *request = caller_request_at(r, attempt->request);
     const struct sim_node *node = &sim->nodes[attempt->node];
     bool dead = !node->up || node->id != attempt->entry_start;
 
-    if (!call->settled && !attempt->ended) {
-        if (sim->now >= call->deadline + 1000) {
+    if (!request->settled && !attempt->ended) {
+        if (sim->now >= request->deadline + 1000) {
             r->out->lost++;
-            settle(r, call);
+            settle(r, request);
         }
-        else if (dead || (r->load->duplicates && call->attempts < 4)) {
-            /* A connection to a process that is gone fails at once; another
-             * caller only loses patience. */
-            uint64_t id = attempt->call;
+        else if (dead || (r->load->duplicates && request->attempts < 4)) {
+            /* The connection to a dead process was reset; with duplicates a
+             * caller also retries while its first attempt is pending. */
+            uint64_t id = attempt->request;
 
-            call_later(r, GIVE_UP_MS, later->number, on_silence);
-            send_call(r, id);
+            schedule(r, CALLER_TIMEOUT_MS, deferred->number, on_timeout);
+            send_request(r, id);
         }
         else {
-            call_later(r, GIVE_UP_MS, later->number, on_silence);
+            schedule(r, CALLER_TIMEOUT_MS, deferred->number, on_timeout);
         }
     }
-    g_free(later);
+    g_free(deferred);
 }
 
-/* Says whether an entry takes connections: it does from its first lease on;
- * a connection to one that does not fails at once. */
+/* An entry listens from its first lease on. */
 static bool
-accepts(const struct run *r, int node)
+accepts_connections(const struct run *r, int node)
 {
     const struct sim_node *n = &r->sim->nodes[node];
 
     return n->up && n->entry->lease_deadline != 0;
 }
 
-/* Picks an entry from the fabric's list. */
+/* Returns a random entry that the fabric lists, -1 when there is none. */
 static int
 pick_entry(struct run *r)
 {
@@ -512,91 +512,89 @@
     for (int i = 0; i < r->load->entries; i++) {
         int n = (start + i) % r->load->entries;
 
-        if (r->listed[n] && accepts(r, sim_entry(r->sim, n))) {
+        if (r->listed[n] && accepts_connections(r, sim_entry(r->sim, n))) {
             return n;
         }
     }
     return -1;
 }
 
-/* An attempt reaches its entry. */
+/* An attempt reached its entry. */
 static void
 on_arrival(struct sim *sim, void *data)
 {
-    struct later *later = data;
-    struct run *r = later->run;
-    struct attempt *attempt = attempt_at(r, later->number);
-    struct call *call = call_at(r, attempt->call);
+    struct deferred *deferred = data;
+    struct run *r = deferred->run;
+    struct attempt *attempt = attempt_at(r, deferred->number);
+    struct caller_request *request = caller_request_at(r, attempt->request);
     struct sim_node *node = &sim->nodes[attempt->node];
-    struct request_spec spec = {.token = later->number,
+    struct request_spec spec = {.token = deferred->number,
                                 .service = hash_name("save"),
-                                .safe = call->safe,
-                                .keyed = !call->safe,
-                                .deadline = call->deadline,
-                                .wall_deadline = SIM_WALL + call->deadline};
+                                .safe = request->safe,
+                                .keyed = !request->safe,
+                                .deadline = request->deadline,
+                                .wall_deadline = SIM_WALL + request->deadline};
 
     if (node->up && sim->now < node->frozen_until) {
-        sim_at(sim, node->frozen_until, on_arrival, later);
+        sim_schedule(sim, node->frozen_until, on_arrival, deferred);
         return;
     }
     if (node->up) {
         attempt->entry_start = node->id;
-        memcpy(spec.key, &call->id, sizeof(call->id));
-        memcpy(spec.digest, &call->id, sizeof(call->id));
-        spec.subject = hash_pair(HASH_KEY, call->id, 1);
-        if (r->load->way == REQ_GATE) {
+        memcpy(spec.key, &request->id, sizeof(request->id));
+        memcpy(spec.digest, &request->id, sizeof(request->id));
+        spec.subject = hash_pair(HASH_KEY, request->id, 1);
+        if (r->load->policy == REQ_GATE) {
             entry_core_start_request(node->entry, sim->now,
                                      SIM_WALL + sim->now, &spec);
-            sim_act(sim, attempt->node);
+            sim_run_actions(sim, attempt->node);
         }
         else {
-            naive_dispatch(r, later->number);
+            dispatch_without_gate(r, deferred->number);
         }
     }
-    g_free(later);
+    g_free(deferred);
 }
 
-/* A caller sends its request. */
+/* Sends a request to an entry. */
 static void
-send_call(struct run *r, uint64_t id)
+send_request(struct run *r, uint64_t id)
 {
-    struct call *call = call_at(r, id);
+    struct caller_request *request = caller_request_at(r, id);
     int n = pick_entry(r);
-    struct attempt attempt = {.call = id};
+    struct attempt attempt = {.request = id};
     uint64_t token;
 
     if (n < 0) {
         return;
     }
-    call->attempts++;
+    request->attempts++;
     attempt.node = sim_entry(r->sim, n);
     attempt.entry_start = r->sim->nodes[attempt.node].id;
     g_array_append_val(r->attempts, attempt);
     token = r->attempts->len;
-    call_later(r, r->load->caller_ms, token, on_arrival);
-    call_later(r, GIVE_UP_MS, token, on_silence);
+    schedule(r, r->load->caller_ms, token, on_arrival);
+    schedule(r, CALLER_TIMEOUT_MS, token, on_timeout);
 }
 
-/* A new request. */
 static void
-new_call(struct run *r)
+open_request(struct run *r)
 {
-    struct call call = {.id = r->calls->len + 1,
-                        .safe = sim_random(r->sim, 4) == 0,
-                        .sent_at = r->sim->now,
-                        .deadline = r->sim->now + DEADLINE_MS};
+    struct caller_request request = {.id = r->requests->len + 1,
+                                     .safe = sim_random(r->sim, 4) == 0,
+                                     .sent_at = r->sim->now,
+                                     .deadline = r->sim->now + DEADLINE_MS};
 
-    g_array_append_val(r->calls, call);
+    g_array_append_val(r->requests, request);
     r->out->requests++;
-    send_call(r, call.id);
+    send_request(r, request.id);
     if (r->load->duplicates && sim_random(r->sim, 10) == 0) {
-        send_call(r, call.id);
+        send_request(r, request.id);
     }
 }
 
-/* ---- trouble ---- */
+/* ---- fault injection ---- */
 
-/* Starts an entry again, listed. */
 static void
 start_entry(struct run *r, int n)
 {
@@ -605,7 +603,6 @@
     r->stopping[n] = false;
 }
 
-/* Kills an entry; callers' connections fail at once. */
 static void
 kill_entry(struct run *r, int n)
 {
@@ -613,9 +610,9 @@
     r->listed[n] = false;
 }
 
-/* Begins a planned stop. */
+/* Starts a planned stop. */
 static void
-stop_entry(struct run *r, int n)
+begin_stop(struct run *r, int n)
 {
     int node = sim_entry(r->sim, n);
 
@@ -626,9 +623,9 @@
     }
 }
 
-/* Ends planned stops that have cut nothing, and starts the entry again. */
+/* Restarts entries whose planned stop is complete. */
 static void
-tick_stops(struct run *r)
+finish_stops(struct run *r)
 {
     for (int n = 0; n < r->load->entries; n++) {
         int node = sim_entry(r->sim, n);
@@ -636,16 +633,17 @@
         if (r->stopping[n] && r->sim->nodes[node].up &&
             entry_core_may_exit(r->sim->nodes[node].entry, r->sim->now)) {
             entry_core_deregister(r->sim->nodes[node].entry, r->sim->now);
-            sim_act(r->sim, node);
+            sim_run_actions(r->sim, node);
             sim_kill(r->sim, node);
             start_entry(r, n);
         }
     }
 }
 
-/* Changes the bundle: upstream 0 leaves; the last, unlisted so far, joins. */
+/* Submits a bundle in which upstream 0 is leaving, signs it off, and records
+ * when it came into force. */
 static void
-drain_and_join(struct run *r, uint64_t ms)
+drain_upstream(struct run *r, uint64_t ms)
 {
     int leader = sim_leader(r->sim);
     char states[UPSTREAMS_MAX + 1] = "";
@@ -670,17 +668,17 @@
     }
 }
 
-/* Lets the scene's trouble happen; `ms` counts from the warm-up. */
+/* Injects the load's fault; `ms` counts from the end of the warm-up. */
 static void
-trouble(struct run *r, uint64_t ms)
+inject_fault(struct run *r, uint64_t ms)
 {
     int n = (int)(r->load->seed % (uint64_t)r->load->entries);
     int other = (n + 1) % r->load->entries;
 
-    switch (r->load->trouble) {
-    case REQ_CALM:
-    case REQ_CUT_ANSWERS:
-    case REQ_TROUBLES:
+    switch (r->load->fault) {
+    case REQ_NO_FAULT:
+    case REQ_TRUNCATE_RESPONSES:
+    case REQ_FAULTS:
         return;
     case REQ_KILL_ENTRY:
         if (ms == 3000) {
@@ -705,14 +703,14 @@
         return;
     case REQ_STOP_ENTRIES:
         if (ms % 2500 == 1000 && r->next_stop < r->load->entries) {
-            stop_entry(r, r->next_stop++);
+            begin_stop(r, r->next_stop++);
         }
         return;
-    case REQ_CUT_ENTRY:
+    case REQ_PARTITION_ENTRY:
         if (ms == 3000 || ms == 13000) {
             for (int i = 0; i < r->sim->options.controls; i++) {
-                sim_cut(r->sim, i, sim_entry(r->sim, n), ms == 3000);
-                sim_cut(r->sim, sim_entry(r->sim, n), i, ms == 3000);
+                sim_set_link_down(r->sim, i, sim_entry(r->sim, n), ms == 3000);
+                sim_set_link_down(r->sim, sim_entry(r->sim, n), i, ms == 3000);
             }
         }
         return;
@@ -721,7 +719,7 @@
             r->upstreams[1].frozen_until = r->sim->now + 10000;
         }
         return;
-    case REQ_SHED_STORM:
+    case REQ_SHED_UPSTREAMS:
         if (ms == 3000) {
             for (int i = 0; i < r->load->upstreams; i += 2) {
                 r->upstreams[i].shed_until = r->sim->now + 5000;
@@ -730,10 +728,10 @@
         return;
     case REQ_DRAIN:
         if (ms % 50 == 0) {
-            drain_and_join(r, ms);
+            drain_upstream(r, ms);
         }
         return;
-    case REQ_EPOCHS:
+    case REQ_ENTRY_CHURN:
         if (ms % 1500 == 0) {
             int one = (int)sim_random(r->sim, (uint64_t)r->load->entries);
 
@@ -748,7 +746,7 @@
     }
 }
 
-/* Samples the busy slots; the imbalance is that of each second's mean. */
+/* Samples busy slots. The imbalance is max / mean of their sums per second. */
 static void
 sample_busy(struct run *r)
 {
@@ -765,14 +763,13 @@
         r->busy_samples++;
         memset(r->busy_second, 0, sizeof(r->busy_second));
     }
-    if (r->sim->now % LOADS_AGE_MS < SAMPLE_MS) {
+    if (r->sim->now % REPORT_INTERVAL_MS < SAMPLE_MS) {
         for (int i = 0; i < r->load->upstreams; i++) {
             r->upstreams[i].reported = r->upstreams[i].busy;
         }
     }
 }
 
-/* Runs the load. */
 static void
 run_load(struct run *r)
 {
@@ -783,19 +780,20 @@
         r->load->length_ms + (r->load->overload > 0 ? 150000 : 8000);
 
     for (uint64_t ms = 0; ms < end; ms++) {
-        bool over = ms >= 10000 && ms < 10000 + r->load->overload_ms;
-        double rate = per_ms * (over ? r->load->overload : r->load->load);
+        bool overloaded = ms >= 10000 && ms < 10000 + r->load->overload_ms;
+        double rate =
+            per_ms * (overloaded ? r->load->overload : r->load->load);
 
         if (ms < r->load->length_ms) {
             due += rate;
             while (due >= exponential(r->sim, 1.0)) {
-                new_call(r);
+                open_request(r);
                 due -= 1;
             }
         }
-        r->measuring = r->load->overload <= 0 || over;
-        trouble(r, ms);
-        tick_stops(r);
+        r->measuring = r->load->overload <= 0 || overloaded;
+        inject_fault(r, ms);
+        finish_stops(r);
         if (ms % SAMPLE_MS == 0 && ms < r->load->length_ms) {
             sample_busy(r);
         }
@@ -803,9 +801,8 @@
     }
 }
 
-/* Works the figures out. */
 static void
-finish(struct run *r)
+compute_result(struct run *r)
 {
     struct request_result *out = r->out;
     double seconds = r->load->length_ms / 1000.0;
@@ -828,16 +825,16 @@
                 (double)r->sim->nodes[sim_entry(r->sim, n)].request_bytes /
                     seconds);
     }
-    if (r->load->way == REQ_GATE) {
+    if (r->load->policy == REQ_GATE) {
         out->retried =
             (unsigned)r->sim->counters.value[COUNTER_REQUESTS_RETRIED];
     }
-    for (guint i = 0; i < r->calls->len; i++) {
-        out->lost += !g_array_index(r->calls, struct call, i).settled;
+    for (guint i = 0; i < r->requests->len; i++) {
+        out->lost +=
+            !g_array_index(r->requests, struct caller_request, i).settled;
     }
 }
 
-/* Runs one load. */
 void
 request_load_run(const struct request_load *load, struct request_result *out)
 {
@@ -853,11 +850,11 @@
                                   .loss = load->loss,
                                   .flow_capacity = 1024,
                                   .hooks = {.dispatched = on_dispatched,
-                                            .answered = on_answered,
+                                            .answered = on_respond,
                                             .data = &r}};
 
     memset(out, 0, sizeof(*out));
-    r.calls = g_array_new(FALSE, FALSE, sizeof(struct call));
+    r.requests = g_array_new(FALSE, FALSE, sizeof(struct caller_request));
     r.attempts = g_array_new(FALSE, FALSE, sizeof(struct attempt));
     r.waits = g_array_new(FALSE, FALSE, sizeof(double));
     r.sim = sim_new(&options);
@@ -868,15 +865,15 @@
     text = sim_bundle(1, 0, states, NULL, (unsigned)load->slots, false);
     sim_run(r.sim, r.sim->now + 2000);
     (void)sim_roll_out(r.sim, text, WARM_UP_MS);
-    /* The epochs of the start must be out of the window. */
+    /* Claims must not wait for the epochs of the cluster's start. */
     sim_run(r.sim, r.sim->now + CLAIM_DEADLINE_MAX_MS + CLAIM_RETENTION_MS);
     g_free(text);
     run_load(&r);
-    finish(&r);
+    compute_result(&r);
     for (int i = 0; i < UPSTREAMS_MAX; i++) {
         g_queue_clear_full(&r.upstreams[i].queue, g_free);
     }
-    g_array_free(r.calls, TRUE);
+    g_array_free(r.requests, TRUE);
     g_array_free(r.attempts, TRUE);
     g_array_free(r.waits, TRUE);
     sim_free(r.sim);
--- a/tests/sim.c
+++ b/tests/sim.c
@@ -1,4 +1,7 @@
-/* Simulated time over the cores. */
+/**
+ * @file sim.c
+ * Deterministic discrete-event simulation of control replicas and entries.
+ */
 #include "sim.h"
 
 #include <stdio.h>
@@ -11,18 +14,17 @@
 #define CONTROL_TICK_MS 20
 #define ENTRY_TICK_MS 10
 #define MINUTE_MS 60000
-#define PACKET_OVERHEAD 28 /* IP and UDP, counted with every message */
+#define PACKET_OVERHEAD 28 /* bytes: IPv4 and UDP headers of a message */
 #define SEAL_BYTES 40
 
 enum event_kind { EVENT_MESSAGE, EVENT_PACKET, EVENT_CALL };
 
-/* Something that happens at a time. */
 struct event {
     uint64_t at;
     uint64_t sequence;
     enum event_kind kind;
     int node;
-    uint64_t start; /* entry's id it is for: 0 for any */
+    uint64_t start; /* id of the receiving entry's start, 0: any */
     GByteArray *bytes;
     struct flow_packet packet;
     uint64_t tag;
@@ -30,7 +32,6 @@
     void *data;
 };
 
-/* Draws a random number below a bound; any when it is 0. */
 uint64_t
 sim_random(struct sim *sim, uint64_t below)
 {
@@ -39,26 +40,24 @@
     return below ? z % below : z;
 }
 
-/* Orders events by time, then by when they were made. */
+/* Orders events by time, then by creation. */
 static bool
 is_before(const struct event *a, const struct event *b)
 {
     return a->at != b->at ? a->at < b->at : a->sequence < b->sequence;
 }
 
-/* Swaps two places of the heap. */
 static void
 swap(GPtrArray *heap, guint a, guint b)
 {
-    gpointer held = heap->pdata[a];
+    gpointer swapped = heap->pdata[a];
 
     heap->pdata[a] = heap->pdata[b];
-    heap->pdata[b] = held;
+    heap->pdata[b] = swapped;
 }
 
-/* Adds an event to the heap. */
 static struct event *
-push(struct sim *sim, uint64_t at, enum event_kind kind, int node)
+push_event(struct sim *sim, uint64_t at, enum event_kind kind, int node)
 {
     struct event *event = g_new0(struct event, 1);
     GPtrArray *heap = sim->queue;
@@ -76,9 +75,8 @@
     return event;
 }
 
-/* Takes the first event off the heap. */
 static struct event *
-pop(struct sim *sim)
+pop_event(struct sim *sim)
 {
     GPtrArray *heap = sim->queue;
     struct event *first = heap->pdata[0];
@@ -103,7 +101,6 @@
     }
 }
 
-/* Frees an event. */
 static void
 free_event(struct event *event)
 {
@@ -113,23 +110,21 @@
     g_free(event);
 }
 
-/* Index of an entry. */
 int
 sim_entry(const struct sim *sim, int n)
 {
     return sim->options.controls + n;
 }
 
-/* Says whether a node runs now. */
+/* A frozen node is up but not running. */
 static bool
 is_running(const struct sim *sim, int node)
 {
     return sim->nodes[node].up && sim->now >= sim->nodes[node].frozen_until;
 }
 
-/* Draws how long a message takes. */
 static uint64_t
-delay(struct sim *sim, int from, int to)
+draw_delay(struct sim *sim, int from, int to)
 {
     uint64_t base = sim->nodes[from].hall == sim->nodes[to].hall
                         ? 0
@@ -138,7 +133,6 @@
     return base + sim_random(sim, sim->options.jitter_ms + 1);
 }
 
-/* Counts bytes that a node sent. */
 static void
 count_bytes(struct sim *sim, int from, size_t length, bool request)
 {
@@ -153,7 +147,7 @@
     node->minute_bytes += bytes;
 }
 
-/* Sends a message, unless the network loses it. */
+/* Sends an encoded message, which the network may lose. */
 static void
 send_bytes(struct sim *sim, int from, int to, GByteArray *bytes, bool request,
            uint64_t start)
@@ -161,16 +155,16 @@
     struct event *event;
 
     count_bytes(sim, from, bytes->len, request);
-    if (to < 0 || sim->cut[from][to] ||
+    if (to < 0 || sim->link_down[from][to] ||
         sim_random(sim, 1000) < sim->options.loss) {
         return;
     }
-    event = push(sim, sim->now + delay(sim, from, to), EVENT_MESSAGE, to);
+    event = push_event(sim, sim->now + draw_delay(sim, from, to),
+                       EVENT_MESSAGE, to);
     event->bytes = g_byte_array_ref(bytes);
     event->start = start;
 }
 
-/* Sends a message that is not encoded yet. */
 static void
 send_msg(struct sim *sim, int from, int to, wire_msg *msg)
 {
@@ -180,30 +174,29 @@
     g_byte_array_unref(bytes);
 }
 
-/* Node of a control replica's number; -1 when there is none. */
+/* Returns the node of a control replica, -1 when there is none. */
 static int
-replica_node(const struct sim *sim, uint32_t replica)
+node_of_replica(const struct sim *sim, uint32_t replica)
 {
     return replica >= 1 && (int)replica <= sim->options.controls
                ? (int)replica - 1
                : -1;
 }
 
-/* Node of an entry at an address; -1 when there is none. */
+/* Returns the entry at an address, -1 when there is none. */
 static int
-address_node(const struct sim *sim, uint32_t address)
+node_at_address(const struct sim *sim, uint32_t address)
 {
     int n = (int)(address - 1);
 
     return n >= 0 && n < sim->options.entries ? sim_entry(sim, n) : -1;
 }
 
-/* Carries out an action of consensus. */
 static void
-act_cons(struct sim *sim, int index, struct cons_action *action)
+run_cons_action(struct sim *sim, int index, struct cons_action *action)
 {
     struct sim_node *node = &sim->nodes[index];
-    bool unsaved = fault_is(FAULT_ACK_UNSYNCED);
+    bool unsynced = fault_is(FAULT_ACK_UNSYNCED);
 
     switch (action->kind) {
     case CONS_SAVE_TERM:
@@ -211,8 +204,8 @@
         node->disk.vote = node->core.cons.voted_for;
         return;
     case CONS_SAVE_ENTRIES:
-        /* A shell that does not sync loses what it acknowledged. */
-        if (!unsaved || sim_random(sim, 3) != 0) {
+        /* Without a sync a crash may lose acknowledged entries. */
+        if (!unsynced || sim_random(sim, 3) != 0) {
             sim_disk_append(&node->disk, &node->core.cons, action->index,
                             action->count);
         }
@@ -224,16 +217,15 @@
         sim_disk_snapshot(&node->disk, &node->core.cons);
         return;
     case CONS_SEND:
-        send_msg(sim, index, replica_node(sim, action->to), &action->msg);
+        send_msg(sim, index, node_of_replica(sim, action->to), &action->msg);
         return;
     case CONS_RESTORE_SNAPSHOT:
         return;
     }
 }
 
-/* Carries out a control replica's actions. */
 static void
-act_control(struct sim *sim, int index)
+run_control_actions(struct sim *sim, int index)
 {
     struct sim_node *node = &sim->nodes[index];
     size_t count;
@@ -245,10 +237,10 @@
 
         switch (action.kind) {
         case CONTROL_CONS:
-            act_cons(sim, index, &action.cons);
+            run_cons_action(sim, index, &action.cons);
             break;
         case CONTROL_SEND:
-            send_msg(sim, index, address_node(sim, action.member.address),
+            send_msg(sim, index, node_at_address(sim, action.member.address),
                      &action.msg);
             break;
         case CONTROL_REPLY:
@@ -262,9 +254,8 @@
     control_core_clear(&node->core);
 }
 
-/* Carries out an entry's actions. */
 static void
-act_entry(struct sim *sim, int index)
+run_entry_actions(struct sim *sim, int index)
 {
     struct sim_node *node = &sim->nodes[index];
     const struct sim_hooks *hooks = &sim->options.hooks;
@@ -276,11 +267,11 @@
 
         switch (action->kind) {
         case ENTRY_SEND_CONTROL:
-            send_bytes(sim, index, replica_node(sim, action->replica),
+            send_bytes(sim, index, node_of_replica(sim, action->replica),
                        action->bytes, false, 0);
             break;
         case ENTRY_SEND_PEER:
-            send_bytes(sim, index, address_node(sim, action->peer.address),
+            send_bytes(sim, index, node_at_address(sim, action->peer.address),
                        action->bytes,
                        action->msg_kind != WIRE_RECORDS &&
                            action->msg_kind != WIRE_KNOWN &&
@@ -307,15 +298,14 @@
     entry_core_clear_actions(node->entry);
 }
 
-/* Carries out a node's actions. */
 void
-sim_act(struct sim *sim, int node)
+sim_run_actions(struct sim *sim, int node)
 {
     if (sim->nodes[node].control) {
-        act_control(sim, node);
+        run_control_actions(sim, node);
     }
     else {
-        act_entry(sim, node);
+        run_entry_actions(sim, node);
     }
 }
 
@@ -327,23 +317,24 @@
     struct sim_options *o = &sim->options;
     uint32_t replicas[SIM_CONTROLS_MAX];
     wire_voter voters[SIM_CONTROLS_MAX];
-    wire_config founders = {.voters = {.voters_val = voters}};
+    wire_config initial_config = {.voters = {.voters_val = voters}};
     struct cons_stored stored;
 
     for (int i = 0; i < o->controls; i++) {
         replicas[i] = (uint32_t)i + 1;
-        if (o->founders == 0 || i < o->founders) {
-            voters[founders.voters.voters_len].replica = replicas[i];
-            voters[founders.voters.voters_len++].identity = replicas[i];
+        if (o->initial_voters == 0 || i < o->initial_voters) {
+            voters[initial_config.voters.voters_len].replica = replicas[i];
+            voters[initial_config.voters.voters_len++].identity = replicas[i];
         }
     }
     sim_disk_load(&node->disk, &stored);
     control_core_open(&node->core, sim->now, (uint32_t)index + 1,
                       node->disk.identity, replicas, (size_t)o->controls,
-                      &founders, sim_random(sim, 0), &stored, &sim->counters);
+                      &initial_config, sim_random(sim, 0), &stored,
+                      &sim->counters);
 }
 
-/* Starts an entry from what it saved. */
+/* Starts an entry with its saved bundle. */
 static void
 start_entry(struct sim *sim, int index)
 {
@@ -375,7 +366,6 @@
     node->entry = entry_core_new(&options);
 }
 
-/* Starts a node. */
 void
 sim_start(struct sim *sim, int index)
 {
@@ -395,7 +385,6 @@
     }
 }
 
-/* Kills a node; what it had not synced is gone. */
 void
 sim_kill(struct sim *sim, int index)
 {
@@ -414,7 +403,6 @@
     }
 }
 
-/* Kills a node and loses its disk. */
 void
 sim_wipe(struct sim *sim, int index)
 {
@@ -428,31 +416,27 @@
     }
 }
 
-/* Freezes a node: messages wait for it. */
 void
 sim_freeze(struct sim *sim, int node, uint64_t until)
 {
     sim->nodes[node].frozen_until = until;
 }
 
-/* Cuts or mends one direction. */
 void
-sim_cut(struct sim *sim, int from, int to, bool cut)
+sim_set_link_down(struct sim *sim, int from, int to, bool down)
 {
-    sim->cut[from][to] = cut;
+    sim->link_down[from][to] = down;
 }
 
-/* Cuts a node off from all others, or mends that. */
 void
-sim_isolate(struct sim *sim, int node, bool cut)
+sim_isolate(struct sim *sim, int node, bool down)
 {
     for (int i = 0; i < sim->count; i++) {
-        sim->cut[node][i] = cut;
-        sim->cut[i][node] = cut;
+        sim->link_down[node][i] = down;
+        sim->link_down[i][node] = down;
     }
 }
 
-/* Starts a simulation with all nodes up. */
 struct sim *
 sim_new(const struct sim_options *options)
 {
@@ -479,7 +463,6 @@
     return sim;
 }
 
-/* Ends a simulation. */
 void
 sim_free(struct sim *sim)
 {
@@ -490,29 +473,30 @@
         }
     }
     while (sim->queue->len > 0) {
-        free_event(pop(sim));
+        free_event(pop_event(sim));
     }
     g_ptr_array_free(sim->queue, TRUE);
     g_free(sim);
 }
 
-/* Hands a packet on to another entry. */
+/* Forwards a packet to another entry. */
 static void
-hand_packet(struct sim *sim, int from, const struct flow_verdict *verdict,
-            const struct flow_packet *packet, uint64_t tag)
+forward_packet(struct sim *sim, int from, const struct flow_verdict *verdict,
+               const struct flow_packet *packet, uint64_t tag)
 {
     const struct member *peer =
         member_find(&sim->nodes[from].entry->members, verdict->peer);
-    int to = peer ? address_node(sim, peer->address) : -1;
+    int to = peer ? node_at_address(sim, peer->address) : -1;
     struct event *event;
 
     sim->packet_hops++;
-    if (to < 0 || sim->cut[from][to] ||
+    if (to < 0 || sim->link_down[from][to] ||
         sim_random(sim, 1000) < sim->options.loss) {
         sim->packets_lost++;
         return;
     }
-    event = push(sim, sim->now + delay(sim, from, to), EVENT_PACKET, to);
+    event = push_event(sim, sim->now + draw_delay(sim, from, to), EVENT_PACKET,
+                       to);
     event->packet = *packet;
     event->packet.handed = true;
     event->packet.origin = verdict->origin;
@@ -522,61 +506,59 @@
     event->tag = tag;
 }
 
-/* Lets an entry decide about a packet. */
+/* Steers a packet at an entry and carries out the verdict. */
 static void
-take_packet(struct sim *sim, int node, uint64_t tag,
-            const struct flow_packet *packet)
+steer_packet(struct sim *sim, int node, uint64_t tag,
+             const struct flow_packet *packet)
 {
     struct flow *flow = sim->nodes[node].entry->flow;
-    struct flow_packet question = *packet;
+    struct flow_packet steered = *packet;
     const struct flow_upstream *u;
     struct flow_verdict verdict;
 
     sim->packets++;
-    question.service = flow_find_named(flow, "feed");
-    flow_steer(flow, sim->now, SIM_WALL + sim->now, &question, &verdict);
+    steered.service = flow_find_named(flow, "feed");
+    flow_steer(flow, sim->now, SIM_WALL + sim->now, &steered, &verdict);
     switch (verdict.action) {
     case FLOW_FORWARD:
         u = flow_upstream(flow, verdict.upstream);
         sim->options.hooks.forwarded(sim->options.hooks.data, node, tag,
-                                     &question, u->address, u->port);
+                                     &steered, u->address, u->port);
         break;
     case FLOW_FORWARD_TO_ENTRY:
-        hand_packet(sim, node, &verdict, &question, tag);
+        forward_packet(sim, node, &verdict, &steered, tag);
         break;
     case FLOW_DROP:
         sim->packets_lost++;
         break;
     }
     entry_core_flush(sim->nodes[node].entry);
-    act_entry(sim, node);
+    run_entry_actions(sim, node);
 }
 
-/* Hands a packet to an entry, after the way from the caller. */
 void
-sim_packet(struct sim *sim, int node, uint64_t tag,
-           const struct flow_packet *packet)
+sim_send_packet(struct sim *sim, int node, uint64_t tag,
+                const struct flow_packet *packet)
 {
-    struct event *event = push(sim, sim->now, EVENT_PACKET, node);
+    struct event *event = push_event(sim, sim->now, EVENT_PACKET, node);
 
     event->packet = *packet;
     event->tag = tag;
 }
 
-/* Calls back at a time. */
 void
-sim_at(struct sim *sim, uint64_t at, void (*call)(struct sim *sim, void *data),
-       void *data)
+sim_schedule(struct sim *sim, uint64_t at,
+             void (*call)(struct sim *sim, void *data), void *data)
 {
-    struct event *event = push(sim, MAX(at, sim->now), EVENT_CALL, -1);
+    struct event *event = push_event(sim, MAX(at, sim->now), EVENT_CALL, -1);
 
     event->call = call;
     event->data = data;
 }
 
-/* Delivers a message. */
+/* Delivers a message, unless it is for an earlier start of an entry. */
 static void
-take_message(struct sim *sim, struct event *event)
+deliver_message(struct sim *sim, struct event *event)
 {
     struct sim_node *node = &sim->nodes[event->node];
     wire_msg msg;
@@ -595,12 +577,12 @@
         entry_core_receive(node->entry, sim->now, SIM_WALL + sim->now, &msg);
     }
     codec_free(&msg);
-    sim_act(sim, event->node);
+    sim_run_actions(sim, event->node);
 }
 
-/* Lets one event happen; what meets a frozen node waits. */
+/* Runs an event; defers messages and packets for a frozen node. */
 static void
-happen(struct sim *sim, struct event *event)
+run_event(struct sim *sim, struct event *event)
 {
     struct sim_node *node;
 
@@ -611,19 +593,19 @@
     }
     node = &sim->nodes[event->node];
     if (node->up && sim->now < node->frozen_until) {
-        struct event *later =
-            push(sim, node->frozen_until, event->kind, event->node);
+        struct event *deferred =
+            push_event(sim, node->frozen_until, event->kind, event->node);
 
-        later->bytes = g_steal_pointer(&event->bytes);
-        later->start = event->start;
-        later->packet = event->packet;
-        later->tag = event->tag;
+        deferred->bytes = g_steal_pointer(&event->bytes);
+        deferred->start = event->start;
+        deferred->packet = event->packet;
+        deferred->tag = event->tag;
     }
     else if (node->up && event->kind == EVENT_MESSAGE) {
-        take_message(sim, event);
+        deliver_message(sim, event);
     }
     else if (node->up) {
-        take_packet(sim, event->node, event->tag, &event->packet);
+        steer_packet(sim, event->node, event->tag, &event->packet);
     }
     else {
         sim->packets_lost += event->kind == EVENT_PACKET;
@@ -631,7 +613,6 @@
     free_event(event);
 }
 
-/* Ticks a node when it is time. */
 static void
 tick(struct sim *sim, int index)
 {
@@ -649,12 +630,11 @@
         node->tick_at = sim->now + ENTRY_TICK_MS;
         entry_core_tick(node->entry, sim->now, SIM_WALL + sim->now);
     }
-    sim_act(sim, index);
+    sim_run_actions(sim, index);
 }
 
-/* Closes a minute of byte counts. */
 static void
-close_minute(struct sim *sim)
+update_worst_minute(struct sim *sim)
 {
     if (sim->now < sim->minute_at) {
         return;
@@ -668,24 +648,22 @@
     }
 }
 
-/* Runs until a time, a millisecond after the other. */
 void
 sim_run(struct sim *sim, uint64_t until)
 {
     while (sim->now < until) {
         while (sim->queue->len > 0 &&
                ((struct event *)sim->queue->pdata[0])->at <= sim->now) {
-            happen(sim, pop(sim));
+            run_event(sim, pop_event(sim));
         }
         for (int i = 0; i < sim->count; i++) {
             tick(sim, i);
         }
-        close_minute(sim);
+        update_worst_minute(sim);
         sim->now++;
     }
 }
 
-/* The control replica that leads in the highest term. */
 int
 sim_leader(const struct sim *sim)
 {
@@ -703,7 +681,6 @@
     return leader;
 }
 
-/* Submits a bundle at the leader. */
 bool
 sim_submit(struct sim *sim, const char *text, const char *submission,
            const char *operator_name, uint64_t token)
@@ -724,12 +701,11 @@
     submit.submission = (char *)submission;
     submit.text = (char *)text;
     control_core_submit(&sim->nodes[leader].core, sim->now, token, &submit);
-    sim_act(sim, leader);
+    sim_run_actions(sim, leader);
     bundle_free(&bundle);
     return true;
 }
 
-/* Signs the accepted bundle off at the leader. */
 bool
 sim_sign_off(struct sim *sim, uint64_t token)
 {
@@ -748,11 +724,11 @@
     memcpy(sign.digest, core->state.pending.digest, sizeof(sign.digest));
     sign.operator_name = (char *)"ivo";
     control_core_sign_off(core, sim->now, token, &sign);
-    sim_act(sim, leader);
+    sim_run_actions(sim, leader);
     return true;
 }
 
-/* Says whether the leader knows a version to be in force everywhere. */
+/* By the state of the leader: in force at all entries. */
 static bool
 is_in_force(const struct sim *sim, uint64_t version)
 {
@@ -762,7 +738,6 @@
            control_core_in_force(&sim->nodes[leader].core, NULL, 0);
 }
 
-/* Submits, signs off, and waits. */
 bool
 sim_roll_out(struct sim *sim, const char *text, uint64_t limit_ms)
 {
@@ -788,7 +763,6 @@
     return is_in_force(sim, version);
 }
 
-/* Writes a bundle. */
 char *
 sim_bundle(uint64_t version, uint64_t base, const char *states,
            const char *weights, unsigned slots, bool udp)
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -1,8 +1,8 @@
 /**
  * @file sim.h
- * Simulated time over the cores: control replicas and entries exchange
- * messages with delay, loss and reordering; nodes are killed, frozen, cut off
- * and lose their disks, all from one seed. The only scaffolding of its kind.
+ * Deterministic discrete-event simulation of a cluster: control replicas and
+ * entries exchange messages with delay, loss and reordering, and can be
+ * killed, frozen, partitioned and lose their disks. A seed determines a run.
  */
 #ifndef RIDGERIDGE_SIM_H
 #define RIDGERIDGE_SIM_H
@@ -16,7 +16,7 @@
 #define SIM_NODES_MAX (SIM_CONTROLS_MAX + SIM_ENTRIES_MAX)
 #define SIM_WALL 1000000000000ULL /* wall clock at simulated time 0 */
 
-/* One node: a control replica or an entry. */
+/* A control replica or an entry. */
 struct sim_node {
     bool control;
     bool up;
@@ -25,16 +25,18 @@
     struct control_core core;
     struct sim_disk disk;
     struct entry_core *entry;
-    char *saved_text; /* the entry's disk */
-    uint64_t id;      /* of the entry's start */
+    char *saved_text; /* the entry's bundle on disk */
+    uint64_t id;      /* of an entry, new at each start */
     uint64_t tick_at;
-    uint64_t control_bytes; /* sent, flow records and control messages */
-    uint64_t request_bytes; /* sent on behalf of requests */
-    uint64_t minute_bytes;  /* control bytes in this minute */
-    uint64_t worst_minute;  /* most of them in a minute */
+    uint64_t control_bytes; /* sent: flow records and control messages */
+    uint64_t request_bytes; /* sent for requests */
+    uint64_t minute_bytes;  /* control bytes of the current minute */
+    uint64_t worst_minute;  /* maximum of minute_bytes */
 };
 
-/* What a forwarded packet, a dispatch or an answer is told to. */
+/* Callbacks for packets to upstreams, dispatches and aborts, responses to
+ * requests, and replies to operators. Only sim_send_packet() needs
+ * `forwarded`; others may be NULL. */
 struct sim_hooks {
     void (*forwarded)(void *data, int node, uint64_t tag,
                       const struct flow_packet *packet, uint32_t address,
@@ -49,15 +51,15 @@
 
 struct sim_options {
     int controls;
-    int founders; /* 0: all controls */
+    int initial_voters; /* 0: all controls */
     int entries;
     int halls;
     uint64_t seed;
     unsigned loss;      /* of 1,000 messages */
-    unsigned delay_ms;  /* least, between halls */
-    unsigned jitter_ms; /* random, added */
+    unsigned delay_ms;  /* minimum, between halls */
+    unsigned jitter_ms; /* random, added to each message */
     size_t flow_capacity;
-    bool push_off;
+    bool push_off; /* entries push no flow records */
     struct sim_hooks hooks;
 };
 
@@ -66,10 +68,10 @@
     uint64_t now;
     uint64_t random;
     uint64_t sequence;
-    GPtrArray *queue; /* heap of events */
+    GPtrArray *queue; /* struct event, a binary heap */
     struct sim_node nodes[SIM_NODES_MAX];
     int count;
-    bool cut[SIM_NODES_MAX][SIM_NODES_MAX]; /* from, to */
+    bool link_down[SIM_NODES_MAX][SIM_NODES_MAX]; /* from, to */
     struct counters counters;
     uint64_t minute_at;
     uint64_t packet_hops;
@@ -80,47 +82,59 @@
 struct sim *sim_new(const struct sim_options *options);
 void sim_free(struct sim *sim);
 
-/* Random number below a bound. */
+/* Random number below a bound, of 64 bits when it is 0. */
 uint64_t sim_random(struct sim *sim, uint64_t below);
 
-/* Runs until a time. */
+/* Runs until a time in ms. */
 void sim_run(struct sim *sim, uint64_t until);
 
 void sim_kill(struct sim *sim, int node);
 void sim_start(struct sim *sim, int node);
+
+/* Stops a node until a time; its messages and packets are delayed. */
 void sim_freeze(struct sim *sim, int node, uint64_t until);
+
 void sim_wipe(struct sim *sim, int node); /* kills, and loses the disk */
-void sim_cut(struct sim *sim, int from, int to, bool cut);
-void sim_isolate(struct sim *sim, int node, bool cut);
 
-/* Index of entry N from 0. */
+/* Drops messages in one direction, or no longer. */
+void sim_set_link_down(struct sim *sim, int from, int to, bool down);
+
+/* Sets the links between a node and all others, in both directions. */
+void sim_isolate(struct sim *sim, int node, bool down);
+
+/* Node index of entry `n`, from 0. */
 int sim_entry(const struct sim *sim, int n);
 
-/* The control replica that leads, -1 when none does. */
+/* Node index of the running leader with the highest term, -1 when there is
+ * none. */
 int sim_leader(const struct sim *sim);
 
-/* Hands a packet to an entry, as the fabric would. `tag` comes back. */
-void sim_packet(struct sim *sim, int node, uint64_t tag,
-                const struct flow_packet *packet);
+/* Delivers a packet to an entry, as the fabric does; `tag` is passed to the
+ * forwarded hook. */
+void sim_send_packet(struct sim *sim, int node, uint64_t tag,
+                     const struct flow_packet *packet);
 
-/* Calls back at a time. */
-void sim_at(struct sim *sim, uint64_t at,
-            void (*call)(struct sim *sim, void *data), void *data);
+/* Calls a function at a time. */
+void sim_schedule(struct sim *sim, uint64_t at,
+                  void (*call)(struct sim *sim, void *data), void *data);
 
-/* Carries out a node's actions; after calls of its core by a test. */
-void sim_act(struct sim *sim, int node);
+/* Carries out the pending actions of a node; needed after a test called its
+ * core. */
+void sim_run_actions(struct sim *sim, int node);
 
-/* Submits and signs off a bundle at the leader; false when none leads. */
+/* Submits a bundle, or signs the accepted one off at the leader; false when
+ * there is none. */
 bool sim_submit(struct sim *sim, const char *text, const char *submission,
                 const char *operator_name, uint64_t token);
 bool sim_sign_off(struct sim *sim, uint64_t token);
 
-/* Submits, signs off and waits until it is in force everywhere; false after
- * `limit_ms`. */
+/* Submits a bundle, signs it off and waits until it is in force at all
+ * entries; false after `limit_ms`. */
 bool sim_roll_out(struct sim *sim, const char *text, uint64_t limit_ms);
 
-/* Text of a bundle with one flow service and one request service on
- * `count` upstreams; `states` holds one of 's', 'l' or '-' for each. */
+/* Text of a bundle with a flow service and a request service. `states` has a
+ * character per upstream: serving, leaving or '-' (absent); `weights` a digit
+ * in units of 10, NULL: all 100. The caller frees it. */
 char *sim_bundle(uint64_t version, uint64_t base, const char *states,
                  const char *weights, unsigned slots, bool udp);
 
--- a/tests/test-control.c
+++ b/tests/test-control.c
@@ -1,8 +1,8 @@
 /*
- * One truth about the bundle in force: control replicas and entries under
- * kills, freezes, cuts, lost disks and racing operators, with invariants
- * checked all along; and the same with one safeguard left out, which some
- * seed must catch.
+ * Guards against split brain, lost commits, conflicting outcomes and leases of
+ * outdated entries while control replicas and entries are killed, frozen,
+ * partitioned and lose their disks. Mutation tests disable a safeguard, which
+ * at least one seed must detect.
  */
 #include <glib.h>
 #include <stdio.h>
@@ -15,58 +15,57 @@
 #define RUN_MS 40000
 #define STEP_MS 25
 
-/* What the invariants remember. */
-struct truth {
+/* State of the invariant checker. */
+struct checker {
     struct sim *sim;
-    GHashTable *leaders;                /* term to replica */
-    GHashTable *committed;              /* index to hash of the entry */
-    GHashTable *outcomes;               /* submission to its first outcome */
-    GHashTable *digests;                /* version to table digest */
-    uint64_t entry_view[SIM_NODES_MAX]; /* version * 8 + step by start */
+    GHashTable *leaders;   /* term to replica */
+    GHashTable *committed; /* index to hash of the entry */
+    GHashTable *outcomes;  /* submission to its first outcome */
+    GHashTable *digests;   /* version to table digest */
+    uint64_t entry_progress[SIM_NODES_MAX]; /* version * 8 + step */
     uint64_t entry_start[SIM_NODES_MAX];
     uint64_t disk_version[SIM_NODES_MAX];
-    uint64_t applied; /* the furthest committed state ever seen: */
+    /* Of the state with the highest applied index so far. */
+    uint64_t applied;
     uint64_t current, prev_version;
     uint32_t step;
-    GArray *members; /* uint64_t */
-    char broken[256];
+    GArray *members;     /* uint64_t */
+    char violation[256]; /* the first violation, "" when there is none */
     unsigned submissions;
     unsigned accepted;
     GHashTable *waiting; /* token to submission */
 };
 
-/* Notes the first broken invariant. */
-static void note_broken(struct truth *t, const char *format, ...)
+static void record_violation(struct checker *c, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
 
 static void
-note_broken(struct truth *t, const char *format, ...)
+record_violation(struct checker *c, const char *format, ...)
 {
     va_list args;
 
-    if (t->broken[0] != '\0') {
+    if (c->violation[0] != '\0') {
         return;
     }
     va_start(args, format);
-    (void)vsnprintf(t->broken, sizeof(t->broken), format, args);
+    (void)vsnprintf(c->violation, sizeof(c->violation), format, args);
     va_end(args);
 }
 
-/* Remembers a value under a key; false when another one was there. */
+/* Stores a key's first value; false when the key has another value. */
 static bool
-same(GHashTable *table, uint64_t key, uint64_t value)
+matches_first(GHashTable *table, uint64_t key, uint64_t value)
 {
-    uint64_t *had = g_hash_table_lookup(table, &key);
+    uint64_t *first = g_hash_table_lookup(table, &key);
 
-    if (had != NULL) {
-        return *had == value;
+    if (first != NULL) {
+        return *first == value;
     }
     g_hash_table_insert(table, g_memdup2(&key, sizeof(key)),
                         g_memdup2(&value, sizeof(value)));
     return true;
 }
 
-/* Hash of a log entry. */
 static uint64_t
 entry_hash(const struct cons_entry *entry)
 {
@@ -77,43 +76,45 @@
                      hash_bytes(HASH_NAME, bytes, length));
 }
 
-/* One leader a term; committed entries never differ. */
+/* Election safety and state machine safety of Raft: at most one leader per
+ * term, equal committed entries at equal indexes. */
 static void
-check_replica(struct truth *t, int index)
+check_replica(struct checker *c, int index)
 {
-    const struct cons *cons = &t->sim->nodes[index].core.cons;
+    const struct cons *cons = &c->sim->nodes[index].core.cons;
     uint64_t from = cons->commit_index > 20 ? cons->commit_index - 20 : 1;
 
     if (cons->role == CONS_LEADER &&
-        !same(t->leaders, cons->term, cons->self)) {
-        note_broken(t, "two leaders in term %llu",
-                    (unsigned long long)cons->term);
+        !matches_first(c->leaders, cons->term, cons->self)) {
+        record_violation(c, "two leaders in term %llu",
+                         (unsigned long long)cons->term);
     }
     for (uint64_t i = from; i <= cons->commit_index; i++) {
         const struct cons_entry *entry = cons_entry_at(cons, i);
 
-        if (entry != NULL && !same(t->committed, i, entry_hash(entry))) {
-            note_broken(t, "entry %llu committed twice, differently",
-                        (unsigned long long)i);
+        if (entry != NULL &&
+            !matches_first(c->committed, i, entry_hash(entry))) {
+            record_violation(c, "different committed entries at index %llu",
+                             (unsigned long long)i);
         }
     }
 }
 
-/* Place of a step in their order. */
+/* Rank of a roll-out step. */
 static int
-step_order(uint32_t step)
+step_rank(uint32_t step)
 {
     return step >= FLOW_STEP_FLIP ? (int)step - 1 : MIN((int)step, 2);
 }
 
-/* The furthest committed state of any replica that is up. */
+/* The running replica with the highest applied index, NULL when none runs. */
 static const struct control_core *
-furthest(const struct truth *t)
+most_applied(const struct checker *c)
 {
     const struct control_core *best = NULL;
 
-    for (int i = 0; i < t->sim->options.controls; i++) {
-        const struct sim_node *node = &t->sim->nodes[i];
+    for (int i = 0; i < c->sim->options.controls; i++) {
+        const struct sim_node *node = &c->sim->nodes[i];
 
         if (node->up &&
             (best == NULL || node->core.state.applied > best->state.applied)) {
@@ -123,125 +124,124 @@
     return best;
 }
 
-/* Remembers the furthest committed state. */
 static void
-note_furthest(struct truth *t)
+record_most_applied(struct checker *c)
 {
-    const struct control_core *best = furthest(t);
+    const struct control_core *best = most_applied(c);
     const wire_epoch *epoch;
 
-    if (best == NULL || best->state.applied <= t->applied) {
+    if (best == NULL || best->state.applied <= c->applied) {
         return;
     }
-    t->applied = best->state.applied;
-    t->current = best->state.current;
-    t->prev_version = best->state.prev_version;
-    t->step = best->state.step;
+    c->applied = best->state.applied;
+    c->current = best->state.current;
+    c->prev_version = best->state.prev_version;
+    c->step = best->state.step;
     epoch = control_state_epoch(&best->state);
-    g_array_set_size(t->members, 0);
+    g_array_set_size(c->members, 0);
     for (u_int i = 0; epoch != NULL && i < epoch->members.members_len; i++) {
-        g_array_append_val(t->members, epoch->members.members_val[i].id);
+        g_array_append_val(c->members, epoch->members.members_val[i].id);
     }
 }
 
-/* Says whether an entry is in the furthest epoch. */
+/* Member of the last epoch that any replica has applied. */
 static bool
-is_member(const struct truth *t, uint64_t id)
+is_member(const struct checker *c, uint64_t id)
 {
-    for (guint i = 0; i < t->members->len; i++) {
-        if (g_array_index(t->members, uint64_t, i) == id) {
+    for (guint i = 0; i < c->members->len; i++) {
+        if (g_array_index(c->members, uint64_t, i) == id) {
             return true;
         }
     }
     return false;
 }
 
-/* An entry with a lease is in the epoch, and at most one step behind. */
+/* An entry with a lease is in the epoch and at most one step behind. */
 static void
-check_lease(struct truth *t, int index)
+check_lease(struct checker *c, int index)
 {
-    const struct sim_node *node = &t->sim->nodes[index];
+    const struct sim_node *node = &c->sim->nodes[index];
     uint64_t version = flow_version(node->entry->flow);
-    int behind =
-        step_order(t->step) - step_order(flow_step(node->entry->flow));
+    int lag = step_rank(c->step) - step_rank(flow_step(node->entry->flow));
     bool ok = true;
 
-    if (t->sim->now >= node->entry->lease_deadline ||
-        t->sim->now < node->frozen_until) {
+    if (c->sim->now >= node->entry->lease_deadline ||
+        c->sim->now < node->frozen_until) {
         return;
     }
-    if (!is_member(t, node->id)) {
-        note_broken(t, "an entry with a lease is not in the epoch");
+    if (!is_member(c, node->id)) {
+        record_violation(c, "an entry outside the epoch holds a lease");
     }
-    if (version == t->current) {
-        ok = behind <= 1;
+    if (version == c->current) {
+        ok = lag <= 1;
     }
-    else if (version < t->current) {
-        ok = version == t->prev_version && t->step == FLOW_STEP_ANNOUNCE;
+    else if (version < c->current) {
+        ok = version == c->prev_version && c->step == FLOW_STEP_ANNOUNCE;
     }
     if (!ok) {
-        note_broken(t, "a lease %d steps behind: version %llu of %llu", behind,
-                    (unsigned long long)version,
-                    (unsigned long long)t->current);
+        record_violation(
+            c, "an entry %d steps behind holds a lease: version %llu of %llu",
+            lag, (unsigned long long)version, (unsigned long long)c->current);
     }
 }
 
-/* An entry never goes back, and equal versions have equal tables. */
+/* The version and step of an entry never decrease, and entries with equal
+ * versions have equal tables. */
 static void
-check_entry(struct truth *t, int index)
+check_entry(struct checker *c, int index)
 {
-    const struct sim_node *node = &t->sim->nodes[index];
+    const struct sim_node *node = &c->sim->nodes[index];
     struct flow *flow = node->entry->flow;
     uint64_t version = flow_version(flow);
-    uint64_t view = version * 8 + (uint64_t)step_order(flow_step(flow));
+    uint64_t progress = version * 8 + (uint64_t)step_rank(flow_step(flow));
 
-    if (t->entry_start[index] == node->id && view < t->entry_view[index]) {
-        note_broken(t, "an entry went back");
+    if (c->entry_start[index] == node->id &&
+        progress < c->entry_progress[index]) {
+        record_violation(c, "the version or step of an entry decreased");
     }
-    /* Before it has heard from control it has no version, and no lease. */
-    if (version != 0 && version < t->disk_version[index]) {
-        note_broken(t, "an entry went back over a restart");
+    /* An entry has version 0 and no lease before its first reply. */
+    if (version != 0 && version < c->disk_version[index]) {
+        record_violation(c, "the version of an entry decreased by a restart");
     }
-    t->entry_start[index] = node->id;
-    t->entry_view[index] = view;
+    c->entry_start[index] = node->id;
+    c->entry_progress[index] = progress;
     if (node->saved_text == NULL) {
-        t->disk_version[index] = 0;
+        c->disk_version[index] = 0;
     }
     else if (version != 0) {
-        t->disk_version[index] = version;
+        c->disk_version[index] = version;
     }
     if (version > 0 &&
-        !same(t->digests, version, flow_table_digest(flow, 0))) {
-        note_broken(t, "two tables for version %llu",
-                    (unsigned long long)version);
+        !matches_first(c->digests, version, flow_table_digest(flow, 0))) {
+        record_violation(c, "different tables for version %llu",
+                         (unsigned long long)version);
     }
-    check_lease(t, index);
+    check_lease(c, index);
 }
 
-/* Checks all invariants. */
 static void
-check_all(struct truth *t)
+check_all(struct checker *c)
 {
-    note_furthest(t);
-    for (int i = 0; i < t->sim->count; i++) {
-        if (!t->sim->nodes[i].up) {
+    record_most_applied(c);
+    for (int i = 0; i < c->sim->count; i++) {
+        if (!c->sim->nodes[i].up) {
             continue;
         }
-        if (t->sim->nodes[i].control) {
-            check_replica(t, i);
+        if (c->sim->nodes[i].control) {
+            check_replica(c, i);
         }
         else {
-            check_entry(t, i);
+            check_entry(c, i);
         }
     }
 }
 
-/* An operator got an answer: the same submission, the same outcome. */
+/* Replies to the same submission must be equal. */
 static void
 on_replied(void *data, int node, uint64_t token, const struct status *status)
 {
-    struct truth *t = data;
-    const char *submission = g_hash_table_lookup(t->waiting, &token);
+    struct checker *c = data;
+    const char *submission = g_hash_table_lookup(c->waiting, &token);
     const char *first;
     char *text;
 
@@ -251,25 +251,25 @@
         return;
     }
     text = g_strdup_printf("%d %s", status->kind, status->message);
-    first = g_hash_table_lookup(t->outcomes, submission);
+    first = g_hash_table_lookup(c->outcomes, submission);
     if (first == NULL) {
-        g_hash_table_insert(t->outcomes, g_strdup(submission), text);
-        t->accepted += status->kind == STATUS_OK;
+        g_hash_table_insert(c->outcomes, g_strdup(submission), text);
+        c->accepted += status->kind == STATUS_OK;
         return;
     }
     if (strcmp(first, text) != 0) {
-        note_broken(t, "submission %s: first \"%s\", then \"%s\"", submission,
-                    first, text);
+        record_violation(c, "submission %s: first \"%s\", then \"%s\"",
+                         submission, first, text);
     }
     g_free(text);
 }
 
-/* An operator submits, races another, or sends an old one again. */
+/* Signs off, submits a bundle, or resends a submission. */
 static void
-operate(struct truth *t)
+act_as_operator(struct checker *c)
 {
-    struct sim *sim = t->sim;
-    const struct control_core *best = furthest(t);
+    struct sim *sim = c->sim;
+    const struct control_core *best = most_applied(c);
     uint64_t token = ++sim->sequence;
     uint64_t base = best ? best->state.current : 0;
     char id[64];
@@ -280,29 +280,30 @@
         (void)sim_sign_off(sim, token);
         return;
     }
-    if (sim_random(sim, 3) != 0 || t->submissions == 0) {
-        t->submissions++;
+    if (sim_random(sim, 3) != 0 || c->submissions == 0) {
+        c->submissions++;
     }
-    /* Racing submissions share a version but differ in the text. */
-    (void)snprintf(id, sizeof(id), "s%u", t->submissions);
-    states[t->submissions % 4] = 'l';
-    text = sim_bundle(base + 1 + t->submissions % 2, base, states, NULL, 3,
+    /* Concurrent submissions may have the same version but other texts. */
+    (void)snprintf(id, sizeof(id), "s%u", c->submissions);
+    states[c->submissions % 4] = 'l';
+    text = sim_bundle(base + 1 + c->submissions % 2, base, states, NULL, 3,
                       false);
-    g_hash_table_insert(t->waiting, g_memdup2(&token, sizeof(token)),
+    g_hash_table_insert(c->waiting, g_memdup2(&token, sizeof(token)),
                         g_strdup(id));
     (void)sim_submit(sim, text, id, "ana", token);
     g_free(text);
 }
 
-/* How rough a run is: chances of 1,000 each STEP_MS. */
-struct weather {
-    unsigned kill, freeze, cut, one_way, wipe, operate, voters, split;
+/* Probabilities per STEP_MS, in 1/1000. */
+struct fault_rates {
+    unsigned kill, freeze, isolate, link_down, wipe, operator_action;
+    unsigned change_voters, partition;
 };
 
-/* Says whether a disk may be lost: a quorum of disks must always last, and
- * the replica wiped before must have been admitted again. */
+/* At most one disk is lost at a time: all replicas must be up and voters with
+ * their current identities. */
 static bool
-may_wipe(const struct sim *sim)
+may_wipe_disk(const struct sim *sim)
 {
     const struct sim_node *node;
     int voters = 0;
@@ -318,58 +319,58 @@
     return voters == sim->options.controls;
 }
 
-/* Cuts the network into two halves at random. */
+/* Partitions the network into two random sides. */
 static void
-split(struct sim *sim)
+partition_randomly(struct sim *sim)
 {
     uint64_t side = sim_random(sim, 0);
 
     for (int i = 0; i < sim->count; i++) {
         for (int j = 0; j < sim->count; j++) {
-            sim_cut(sim, i, j, (side >> i & 1) != (side >> j & 1));
+            sim_set_link_down(sim, i, j, (side >> i & 1) != (side >> j & 1));
         }
     }
 }
 
-/* Lets one kind of trouble happen. */
 static void
-trouble(struct truth *t, const struct weather *w)
+inject_faults(struct checker *c, const struct fault_rates *rates)
 {
-    struct sim *sim = t->sim;
+    struct sim *sim = c->sim;
     int node = (int)sim_random(sim, (uint64_t)sim->count);
     int other = (int)sim_random(sim, (uint64_t)sim->count);
 
-    if (sim_random(sim, 1000) < w->kill) {
+    if (sim_random(sim, 1000) < rates->kill) {
         sim_kill(sim, node);
     }
-    if (sim_random(sim, 1000) < w->kill * 2) {
+    if (sim_random(sim, 1000) < rates->kill * 2) {
         sim_start(sim, (int)sim_random(sim, (uint64_t)sim->count));
     }
-    if (sim_random(sim, 1000) < w->freeze) {
+    if (sim_random(sim, 1000) < rates->freeze) {
         sim_freeze(sim, node, sim->now + 100 + sim_random(sim, 12000));
     }
-    if (sim_random(sim, 1000) < w->cut) {
+    if (sim_random(sim, 1000) < rates->isolate) {
         sim_isolate(sim, node, true);
     }
-    if (sim_random(sim, 1000) < w->one_way) {
-        sim_cut(sim, node, other, true);
+    if (sim_random(sim, 1000) < rates->link_down) {
+        sim_set_link_down(sim, node, other, true);
     }
-    if (sim_random(sim, 1000) < w->split) {
-        split(sim);
+    if (sim_random(sim, 1000) < rates->partition) {
+        partition_randomly(sim);
     }
-    if (sim_random(sim, 1000) < (w->cut + w->one_way + w->split / 4) * 2) {
+    if (sim_random(sim, 1000) <
+        (rates->isolate + rates->link_down + rates->partition / 4) * 2) {
         for (int i = 0; i < sim->count; i++) {
             sim_isolate(sim, i, false);
         }
     }
-    if (sim_random(sim, 1000) < w->wipe && node < sim->options.controls &&
-        (fault_is(FAULT_COUNT_ANY_IDENTITY) || may_wipe(sim))) {
+    if (sim_random(sim, 1000) < rates->wipe && node < sim->options.controls &&
+        (fault_is(FAULT_COUNT_ANY_IDENTITY) || may_wipe_disk(sim))) {
         sim_wipe(sim, node);
     }
-    if (sim_random(sim, 1000) < w->operate) {
-        operate(t);
+    if (sim_random(sim, 1000) < rates->operator_action) {
+        act_as_operator(c);
     }
-    if (sim_random(sim, 1000) < w->voters && sim_leader(sim) >= 0) {
+    if (sim_random(sim, 1000) < rates->change_voters && sim_leader(sim) >= 0) {
         struct control_core *core = &sim->nodes[sim_leader(sim)].core;
         uint32_t replica =
             1 + (uint32_t)sim_random(sim, (uint64_t)sim->options.controls);
@@ -378,62 +379,61 @@
 
         control_core_change_voters(core, sim->now, 0, replica,
                                    voter ? 0 : peer->disk.identity);
-        sim_act(sim, sim_leader(sim));
+        sim_run_actions(sim, sim_leader(sim));
     }
 }
 
-/* Frees what a run remembers. */
 static void
-truth_free(struct truth *t)
+checker_free(struct checker *c)
 {
-    g_hash_table_destroy(t->leaders);
-    g_hash_table_destroy(t->committed);
-    g_hash_table_destroy(t->outcomes);
-    g_hash_table_destroy(t->digests);
-    g_hash_table_destroy(t->waiting);
-    g_array_free(t->members, TRUE);
-    sim_free(t->sim);
+    g_hash_table_destroy(c->leaders);
+    g_hash_table_destroy(c->committed);
+    g_hash_table_destroy(c->outcomes);
+    g_hash_table_destroy(c->digests);
+    g_hash_table_destroy(c->waiting);
+    g_array_free(c->members, TRUE);
+    sim_free(c->sim);
 }
 
-/* Runs one seed; the first broken invariant stays in `broken`. */
+/* Runs a seed until the first violation or for `length` ms. */
 static void
-run_seed(struct truth *t, const struct sim_options *base, uint64_t seed,
-         const struct weather *w, uint64_t length)
+run_seed(struct checker *c, const struct sim_options *base, uint64_t seed,
+         const struct fault_rates *rates, uint64_t length)
 {
     struct sim_options options = *base;
     uint64_t end;
 
-    memset(t, 0, sizeof(*t));
-    t->leaders =
+    memset(c, 0, sizeof(*c));
+    c->leaders =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
-    t->committed =
+    c->committed =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
-    t->digests =
+    c->digests =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
-    t->waiting =
+    c->waiting =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
-    t->members = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-    t->outcomes =
+    c->members = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+    c->outcomes =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     options.seed = seed;
     options.hooks.replied = on_replied;
-    options.hooks.data = t;
-    t->sim = sim_new(&options);
-    end = t->sim->now + length;
-    while (t->sim->now < end && t->broken[0] == '\0') {
-        sim_run(t->sim, t->sim->now + STEP_MS);
-        /* A leader may be killed right after it let an entry know. */
-        note_furthest(t);
-        trouble(t, w);
-        check_all(t);
+    options.hooks.data = c;
+    c->sim = sim_new(&options);
+    end = c->sim->now + length;
+    while (c->sim->now < end && c->violation[0] == '\0') {
+        sim_run(c->sim, c->sim->now + STEP_MS);
+        /* The next fault may kill the only replica with this state. */
+        record_most_applied(c);
+        inject_faults(c, rates);
+        check_all(c);
     }
 }
 
-/* After the trouble: all nodes come back, and a bundle gets through. */
+/* Restores all nodes and links; a bundle must come into force after that. */
 static bool
-recovers(struct truth *t)
+recovers_after_faults(struct checker *c)
 {
-    struct sim *sim = t->sim;
+    struct sim *sim = c->sim;
     const struct control_core *best;
     char *text;
     bool ok;
@@ -443,35 +443,35 @@
         sim_freeze(sim, i, 0);
         sim_start(sim, i);
     }
-    /* A roll-out that waited for lost entries goes on first. */
+    /* A pending roll-out must complete first. */
     for (int i = 0; i < 40; i++) {
         sim_run(sim, sim->now + 1000);
         (void)sim_sign_off(sim, 0);
-        best = furthest(t);
+        best = most_applied(c);
         if (best->state.step == FLOW_STEP_SETTLED &&
             !best->state.has_pending && i > 5) {
             break;
         }
     }
-    best = furthest(t);
+    best = most_applied(c);
     text = sim_bundle(best->state.current + 5, best->state.current, "sssss",
                       NULL, 3, false);
     ok = sim_roll_out(sim, text, 30000);
     g_free(text);
-    check_all(t);
+    check_all(c);
     return ok;
 }
 
 /* ---- tables of cases ---- */
 
-struct scene {
+struct scenario {
     const char *name;
-    int controls, founders, entries;
+    int controls, initial_voters, entries;
     unsigned loss;
-    struct weather weather;
+    struct fault_rates fault_rates;
 };
 
-static const struct scene scenes[] = {
+static const struct scenario scenarios[] = {
     {"calm", 3, 0, 3, 0, {0, 0, 0, 0, 0, 100, 0, 0}},
     {"kills", 3, 0, 3, 5, {25, 0, 0, 0, 0, 60, 0, 0}},
     {"freezes", 3, 0, 3, 5, {0, 25, 0, 0, 0, 60, 0, 0}},
@@ -481,11 +481,10 @@
     {"voters-change", 5, 3, 2, 10, {10, 5, 3, 3, 0, 60, 20, 0}},
 };
 
-/* Runs a scene over some seeds. */
 static void
-test_scene(gconstpointer data)
+test_scenario(gconstpointer data)
 {
-    const struct scene *s = data;
+    const struct scenario *s = data;
     int seeds = g_test_slow() ? 500 : 40;
 
     if (s->entries > 4 && !g_test_slow()) {
@@ -493,27 +492,27 @@
     }
     for (int seed = 1; seed <= seeds; seed++) {
         struct sim_options options = {.controls = s->controls,
-                                      .founders = s->founders,
+                                      .initial_voters = s->initial_voters,
                                       .entries = s->entries,
                                       .halls = 3,
                                       .loss = s->loss,
                                       .delay_ms = 1,
                                       .jitter_ms = 4,
                                       .flow_capacity = 1024};
-        struct truth t;
+        struct checker c;
 
-        run_seed(&t, &options, (uint64_t)seed, &s->weather, RUN_MS);
-        if (t.broken[0] != '\0') {
-            g_test_message("%s seed %d: %s", s->name, seed, t.broken);
+        run_seed(&c, &options, (uint64_t)seed, &s->fault_rates, RUN_MS);
+        if (c.violation[0] != '\0') {
+            g_test_message("%s seed %d: %s", s->name, seed, c.violation);
             g_test_fail();
         }
-        else if (!recovers(&t)) {
-            const struct control_core *best = furthest(&t);
+        else if (!recovers_after_faults(&c)) {
+            const struct control_core *best = most_applied(&c);
 
             g_test_message(
-                "%s seed %d: does not recover: leader %d version "
-                "%llu step %u pending %d epoch members %u",
-                s->name, seed, sim_leader(t.sim),
+                "%s seed %d: no recovery: leader %d, version "
+                "%llu, step %u, pending %d, %u epoch members",
+                s->name, seed, sim_leader(c.sim),
                 (unsigned long long)best->state.current, best->state.step,
                 best->state.has_pending,
                 control_state_epoch(&best->state)
@@ -521,21 +520,21 @@
                     : 0);
             g_test_fail();
         }
-        if (t.broken[0] != '\0') {
+        if (c.violation[0] != '\0') {
             g_test_message("%s seed %d after recovery: %s", s->name, seed,
-                           t.broken);
+                           c.violation);
             g_test_fail();
         }
-        truth_free(&t);
+        checker_free(&c);
     }
 }
 
-/* A safeguard left out, and the weather that shows it. */
+/* A disabled safeguard, and the fault rates that expose its absence. */
 struct mutation {
     const char *name;
     enum fault fault;
-    struct weather weather;
-    unsigned jitter_ms; /* 0: as in the scenes */
+    struct fault_rates fault_rates;
+    unsigned jitter_ms; /* 0: as in the scenarios */
 };
 
 static const struct mutation mutations[] = {
@@ -569,7 +568,7 @@
      0},
 };
 
-/* Looks for a seed that catches the mutation. */
+/* At least one seed must detect the disabled safeguard. */
 static void
 test_mutation(gconstpointer data)
 {
@@ -584,39 +583,40 @@
                                       .jitter_ms =
                                           m->jitter_ms ? m->jitter_ms : 4,
                                       .flow_capacity = 1024};
-        struct truth t;
-        bool caught;
+        struct checker c;
+        bool detected;
 
         fault_trials[m->fault] = true;
-        run_seed(&t, &options, (uint64_t)seed, &m->weather, RUN_MS);
+        run_seed(&c, &options, (uint64_t)seed, &m->fault_rates, RUN_MS);
         fault_trials[m->fault] = false;
-        caught = t.broken[0] != '\0';
-        if (caught) {
-            g_test_message("%s: seed %d: %s", m->name, seed, t.broken);
+        detected = c.violation[0] != '\0';
+        if (detected) {
+            g_test_message("%s: seed %d: %s", m->name, seed, c.violation);
         }
-        truth_free(&t);
-        if (caught) {
+        checker_free(&c);
+        if (detected) {
             return;
         }
     }
-    g_test_message("no seed catches %s", m->name);
+    g_test_message("no seed detects %s", m->name);
     g_test_fail();
 }
 
-/* A replica that is its own quorum commits an entry before its shell has
- * stored it: the log is not made a snapshot meanwhile. */
+/* A single voter commits an entry before it is stored; the log must not be
+ * compacted up to that entry meanwhile. */
 static void
 test_compact_while_saving(void)
 {
     const uint32_t self = 1;
     wire_voter voter = {.replica = self, .identity = self};
-    wire_config founders = {.voters = {.voters_len = 1, .voters_val = &voter}};
+    wire_config initial_voters = {
+        .voters = {.voters_len = 1, .voters_val = &voter}};
     struct counters counters = {{0}};
     struct control_core core;
     uint64_t now = 1;
 
-    control_core_open(&core, now, self, self, &self, 1, &founders, 1, NULL,
-                      &counters);
+    control_core_open(&core, now, self, self, &self, 1, &initial_voters, 1,
+                      NULL, &counters);
     for (unsigned i = 0; i < 3 * CONTROL_COMPACT_ENTRIES; i++) {
         wire_sign_off sign = {.bundle_version = i + 1, .operator_name = "one"};
         size_t count;
@@ -639,7 +639,6 @@
     control_core_close(&core);
 }
 
-/* Adds the tables. */
 int
 main(int argc, char **argv)
 {
@@ -647,9 +646,9 @@
 
     g_test_init(&argc, &argv, NULL);
     g_test_set_nonfatal_assertions();
-    for (size_t i = 0; i < G_N_ELEMENTS(scenes); i++) {
-        (void)snprintf(path, sizeof(path), "/control/%s", scenes[i].name);
-        g_test_add_data_func(path, &scenes[i], test_scene);
+    for (size_t i = 0; i < G_N_ELEMENTS(scenarios); i++) {
+        (void)snprintf(path, sizeof(path), "/control/%s", scenarios[i].name);
+        g_test_add_data_func(path, &scenarios[i], test_scenario);
     }
     for (size_t i = 0; i < G_N_ELEMENTS(mutations); i++) {
         (void)snprintf(path, sizeof(path), "/control/mutation/%s",
--- a/tests/test-flow.c
+++ b/tests/test-flow.c
@@ -1,7 +1,7 @@
 /*
- * Flows that stay up: scenes of changes and losses over the simulated
- * cluster, with limits on what may break; a trial without pushed records,
- * which must break some; the table and the keepers.
+ * Guards against flows that change their upstream while entries fail and
+ * bundles change in the simulated cluster, against uneven load, and against
+ * faults of the Maglev table and of the choice of keepers.
  */
 #include <glib.h>
 #include <stdio.h>
@@ -11,49 +11,50 @@
 #include "hash.h"
 #include "table.h"
 
-#define ALL "ssssssssssssss"
+#define ALL_SERVING "ssssssssssssss"
 
-/* One scene and what it may cost. */
+/* A scenario and the limits of its result. */
 struct flow_case {
-    struct flow_scene scene;
-    unsigned most_broken; /* of about 9,000 flows */
-    unsigned most_late;
-    double worst_end;    /* imbalance at the end */
-    double most_control; /* bytes/s in the worst minute */
+    struct flow_scenario scenario;
+    unsigned max_broken; /* of about 9,000 flows */
+    unsigned max_late;
+    double max_end_imbalance; /* max / mean of the upstreams' open flows */
+    double max_control;       /* bytes/s in the worst minute */
 };
 
 static const struct flow_case cases[] = {
-    {{"calm", {{0, ACT_END, 0, NULL}}, 15000, false}, 0, 0, 1.15, 300},
-    {{"drain", {{2000, ACT_STATES, 0, "slssssssssssss"}}, 20000, false},
+    {{"calm", {{0, LOAD_END, 0, NULL}}, 15000, false}, 0, 0, 1.15, 300},
+    {{"drain", {{2000, LOAD_STATES, 0, "slssssssssssss"}}, 20000, false},
      0,
      0,
      1.15,
      2000},
-    {{"join", {{2000, ACT_STATES, 0, ALL "s"}}, 20000, false},
+    {{"join", {{2000, LOAD_STATES, 0, ALL_SERVING "s"}}, 20000, false},
      0,
      0,
      1.2,
      2000},
-    {{"weights", {{2000, ACT_WEIGHTS, 0, "55555555555559"}}, 20000, false},
+    {{"weights", {{2000, LOAD_WEIGHTS, 0, "55555555555559"}}, 20000, false},
      0,
      0,
      1.2,
      2000},
     {{"return",
-      {{1000, ACT_STATES, 0, "slssssssssssss"}, {9000, ACT_STATES, 0, ALL}},
+      {{1000, LOAD_STATES, 0, "slssssssssssss"},
+       {9000, LOAD_STATES, 0, ALL_SERVING}},
       25000,
       false},
      0,
      0,
      1.2,
      2000},
-    {{"udp-drain", {{2000, ACT_STATES, 0, "slssssssssssss"}}, 20000, true},
+    {{"udp-drain", {{2000, LOAD_STATES, 0, "slssssssssssss"}}, 20000, true},
      0,
      0,
      1.15,
      2000},
     {{"stop-entry",
-      {{2000, ACT_STOP, 3, NULL}, {9000, ACT_START, 3, NULL}},
+      {{2000, LOAD_STOP, 3, NULL}, {9000, LOAD_START, 3, NULL}},
       15000,
       false},
      0,
@@ -61,7 +62,7 @@
      1.15,
      2000},
     {{"stop-entry-in-a-drain",
-      {{2000, ACT_STATES, 0, "slssssssssssss"}, {2100, ACT_STOP, 3, NULL}},
+      {{2000, LOAD_STATES, 0, "slssssssssssss"}, {2100, LOAD_STOP, 3, NULL}},
       20000,
       false},
      0,
@@ -69,7 +70,7 @@
      1.15,
      2000},
     {{"kill-entry",
-      {{2000, ACT_KILL, 3, NULL}, {9000, ACT_START, 3, NULL}},
+      {{2000, LOAD_KILL, 3, NULL}, {9000, LOAD_START, 3, NULL}},
       15000,
       false},
      0,
@@ -77,9 +78,9 @@
      1.15,
      2000},
     {{"second-loss-after-repair",
-      {{2000, ACT_STATES, 0, "slssssssssssss"},
-       {7000, ACT_KILL, 3, NULL},
-       {12500, ACT_KILL, 4, NULL}},
+      {{2000, LOAD_STATES, 0, "slssssssssssss"},
+       {7000, LOAD_KILL, 3, NULL},
+       {12500, LOAD_KILL, 4, NULL}},
       22000,
       false},
      0,
@@ -87,9 +88,9 @@
      1.15,
      2000},
     {{"views-5s-apart",
-      {{2000, ACT_CUT, 1, NULL},
-       {2000, ACT_CUT, 5, NULL},
-       {2200, ACT_STATES, 0, "slssssssssssss"}},
+      {{2000, LOAD_PARTITION, 1, NULL},
+       {2000, LOAD_PARTITION, 5, NULL},
+       {2200, LOAD_STATES, 0, "slssssssssssss"}},
       25000,
       false},
      3,
@@ -97,7 +98,7 @@
      1.15,
      6000},
     {{"freeze-in-a-drain",
-      {{2000, ACT_FREEZE, 2, NULL}, {3000, ACT_STATES, 0, "slssssssssssss"}},
+      {{2000, LOAD_FREEZE, 2, NULL}, {3000, LOAD_STATES, 0, "slssssssssssss"}},
       25000,
       false},
      3,
@@ -106,11 +107,10 @@
      3000},
 };
 
-/* The load of all scenes here. */
 static struct flow_load
-make_load(enum way way, uint64_t seed)
+make_load(enum flow_policy policy, uint64_t seed)
 {
-    return (struct flow_load){.way = way,
+    return (struct flow_load){.policy = policy,
                               .seed = seed,
                               .upstreams = 14,
                               .entries = 11,
@@ -121,46 +121,45 @@
                               .new_per_s = 300};
 }
 
-/* Runs a case over some seeds. */
 static void
 test_case(gconstpointer data)
 {
     const struct flow_case *c = data;
 
     for (uint64_t seed = 1; seed <= 3; seed++) {
-        struct flow_load load = make_load(WAY_KEEPERS, seed);
+        struct flow_load load = make_load(POLICY_KEEPERS, seed);
         struct flow_result r;
 
-        flow_load_run(&load, &c->scene, &r);
-        g_test_message("%s seed %u: broken %u late %u end %.3f control %.0f "
-                       "%s",
-                       c->scene.name, (unsigned)seed, r.broken,
-                       r.late_at_leaving, r.imbalance_end, r.control_worst,
-                       r.first_broken);
+        flow_load_run(&load, &c->scenario, &r);
+        g_test_message(
+            "%s seed %u: broken %u, late %u, imbalance at end %.3f, "
+            "control %.0f bytes/s %s",
+            c->scenario.name, (unsigned)seed, r.broken, r.late_at_leaving,
+            r.imbalance_end, r.control_worst, r.first_broken);
         g_assert_cmpuint(r.established, >, 5000);
-        g_assert_cmpuint(r.broken, <=, c->most_broken);
-        g_assert_cmpuint(r.late_at_leaving, <=, c->most_late);
-        g_assert_cmpfloat(r.imbalance_end, <=, c->worst_end);
-        g_assert_cmpfloat(r.control_worst, <=, c->most_control);
+        g_assert_cmpuint(r.broken, <=, c->max_broken);
+        g_assert_cmpuint(r.late_at_leaving, <=, c->max_late);
+        g_assert_cmpfloat(r.imbalance_end, <=, c->max_end_imbalance);
+        g_assert_cmpfloat(r.control_worst, <=, c->max_control);
     }
 }
 
-/* Random mixes: at most one flow in a thousand breaks over all seeds. */
+/* Random events may break at most 0.1 percent of the flows. */
 static void
 test_mix(gconstpointer data)
 {
-    bool apart = GPOINTER_TO_INT(data);
+    bool partitions = GPOINTER_TO_INT(data);
     unsigned broken = 0;
     unsigned established = 0;
 
     for (uint64_t seed = 1; seed <= (g_test_slow() ? 200 : 6); seed++) {
-        struct flow_load load = make_load(WAY_KEEPERS, seed);
-        char states[ACTS_MAX][UPSTREAMS_IN_MIX + 1];
-        struct flow_scene mix;
+        struct flow_load load = make_load(POLICY_KEEPERS, seed);
+        char states[LOAD_EVENTS_MAX][MIX_UPSTREAMS + 1];
+        struct flow_scenario mix;
         struct flow_result r;
 
         load.states = "ssssssssssssss--";
-        flow_load_mix(seed, 11, &mix, states, apart);
+        flow_load_random_scenario(seed, 11, &mix, states, partitions);
         flow_load_run(&load, &mix, &r);
         broken += r.broken;
         established += r.established;
@@ -169,36 +168,38 @@
     g_assert_cmpuint(broken * 1000, <=, established);
 }
 
-/* Each part of the steering is needed: without it flows break. */
+/* The scenarios can detect broken flows: each simpler policy breaks some. */
 static void
-test_parts(void)
+test_ablation(void)
 {
-    static const enum way ways[] = {WAY_NO_PUSH, WAY_CONSISTENT, WAY_MODULO};
+    static const enum flow_policy policies[] = {
+        POLICY_NO_PUSH, POLICY_CONSISTENT, POLICY_MODULO};
 
-    for (size_t i = 0; i < G_N_ELEMENTS(ways); i++) {
-        struct flow_load load = make_load(ways[i], 1);
+    for (size_t i = 0; i < G_N_ELEMENTS(policies); i++) {
+        struct flow_load load = make_load(policies[i], 1);
         struct flow_result r;
 
-        flow_load_run(&load, &cases[1].scene, &r);
-        g_test_message("%s: broken %u", flow_load_way(ways[i]), r.broken);
+        flow_load_run(&load, &cases[1].scenario, &r);
+        g_test_message("%s: broken %u", flow_load_policy_name(policies[i]),
+                       r.broken);
         g_assert_cmpuint(r.broken, >, 0);
     }
 }
 
-/* Where packets name their upstream, no flow breaks and nothing new comes to
- * a leaving upstream, with the code of nodes. */
+/* Steering by evidence tokens must break no flow and assign no new flow to a
+ * leaving upstream. */
 static void
 test_evidence(void)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-        struct flow_load load = make_load(WAY_EVIDENCE, 1);
+        struct flow_load load = make_load(POLICY_EVIDENCE, 1);
         struct flow_result r;
 
-        if (cases[i].scene.udp) {
+        if (cases[i].scenario.udp) {
             continue;
         }
-        flow_load_run(&load, &cases[i].scene, &r);
-        g_test_message("%s: broken %u of %u, late %u", cases[i].scene.name,
+        flow_load_run(&load, &cases[i].scenario, &r);
+        g_test_message("%s: broken %u of %u, late %u", cases[i].scenario.name,
                        r.broken, r.established, r.late_at_leaving);
         g_assert_cmpuint(r.established, >, 5000);
         g_assert_cmpuint(r.broken, ==, 0);
@@ -206,7 +207,8 @@
     }
 }
 
-/* Each upstream owns its share of the table, and a change moves little. */
+/* Guards against uneven shares of the table, and against more remapped buckets
+ * than the removal of an upstream requires. */
 static void
 test_table(void)
 {
@@ -215,7 +217,7 @@
     uint16_t *before = g_new(uint16_t, size);
     uint16_t *after = g_new(uint16_t, size);
     uint32_t counts[15] = {0};
-    uint32_t moved = 0;
+    uint32_t remapped = 0;
 
     for (uint64_t i = 0; i < 15; i++) {
         candidates[i].key = hash_pair(HASH_UPSTREAM, i, 80);
@@ -226,20 +228,21 @@
     table_fill(candidates, 15, size, after);
     for (uint32_t i = 0; i < size; i++) {
         counts[before[i]]++;
-        moved += before[i] != after[i] && before[i] != 7;
+        remapped += before[i] != after[i] && before[i] != 7;
         g_assert_cmpuint(after[i], !=, 7);
     }
     for (int i = 0; i < 15; i++) {
         g_assert_cmpuint(counts[i], >=, size / 15 - 1);
         g_assert_cmpuint(counts[i], <=, size / 15 + 1);
     }
-    g_test_message("moved without need: %u of %u", moved, size);
-    g_assert_cmpuint(moved, <, size / 10);
+    g_test_message("remapped unnecessarily: %u of %u buckets", remapped, size);
+    g_assert_cmpuint(remapped, <, size / 10);
     g_free(before);
     g_free(after);
 }
 
-/* Keepers stand in distinct halls, and one loss changes one keeper. */
+/* The keepers of a key are in distinct halls, and the loss of a member
+ * replaces at most one of them. */
 static void
 test_keepers(void)
 {
@@ -273,8 +276,8 @@
     member_set_clear(&fewer);
 }
 
-/* A handle outlives no upstream: a record of one that left is dead, also
- * when another takes its place in the table. */
+/* A stale upstream id must not resolve, not even after another upstream has
+ * reused its slot (ABA). */
 static void
 test_handles(void)
 {
@@ -307,7 +310,6 @@
     flow_free(flow);
 }
 
-/* Adds the tables. */
 int
 main(int argc, char **argv)
 {
@@ -319,14 +321,14 @@
     g_test_add_func("/flow/keepers", test_keepers);
     g_test_add_func("/flow/handles", test_handles);
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-        (void)snprintf(path, sizeof(path), "/flow/scene/%s",
-                       cases[i].scene.name);
+        (void)snprintf(path, sizeof(path), "/flow/scenario/%s",
+                       cases[i].scenario.name);
         g_test_add_data_func(path, &cases[i], test_case);
     }
     g_test_add_data_func("/flow/mix", GINT_TO_POINTER(0), test_mix);
     g_test_add_data_func("/flow/mix-views-apart", GINT_TO_POINTER(1),
                          test_mix);
-    g_test_add_func("/flow/parts-are-needed", test_parts);
+    g_test_add_func("/flow/ablation", test_ablation);
     g_test_add_func("/flow/evidence", test_evidence);
     return g_test_run();
 }
--- a/tests/test-input.c
+++ b/tests/test-input.c
@@ -1,6 +1,8 @@
 /*
- * Input from outside: settings and bundles with every kind of fault, packets
- * and messages mutated at random from fixed seeds, checksums, burn rates.
+ * Guards against invalid settings and bundles that are accepted or rejected
+ * without a helpful message, against memory faults of the parsers (random
+ * mutations from fixed seeds), and against wrong checksums, burn rates and
+ * verdicts of `explain`.
  */
 #include <glib.h>
 #include <sodium.h>
@@ -32,11 +34,11 @@
 #define BUNDLE(services)                                                      \
     "{\"version\":2,\"base\":1,\"services\":[" services "]}"
 
-/* A document and a part of the message it must meet; NULL: accepted. */
+/* A document and a part of the error message, NULL: valid. */
 struct document {
     const char *name;
     const char *text;
-    const char *fault;
+    const char *expected_error;
 };
 
 static const struct document settings_cases[] = {
@@ -110,20 +112,18 @@
      "not below"},
 };
 
-/* Checks one result. */
 static void
-check(const struct document *d, const struct status *st)
+check_status(const struct document *d, const struct status *st)
 {
     g_test_message("%s: %s", d->name, st->message);
-    if (d->fault == NULL) {
+    if (d->expected_error == NULL) {
         g_assert_cmpint(st->kind, ==, STATUS_OK);
         return;
     }
     g_assert_cmpint(st->kind, ==, STATUS_BAD_INPUT);
-    g_assert_nonnull(strstr(st->message, d->fault));
+    g_assert_nonnull(strstr(st->message, d->expected_error));
 }
 
-/* Reads settings. */
 static void
 test_settings(gconstpointer data)
 {
@@ -132,13 +132,12 @@
     struct status st;
 
     (void)settings_read("f.json", d->text, strlen(d->text), &settings, &st);
-    check(d, &st);
+    check_status(d, &st);
     if (st.kind == STATUS_OK) {
         settings_free(&settings);
     }
 }
 
-/* Reads a bundle. */
 static void
 test_bundle(gconstpointer data)
 {
@@ -147,13 +146,14 @@
     struct status st;
 
     (void)bundle_read("f.json", d->text, strlen(d->text), &bundle, &st);
-    check(d, &st);
+    check_status(d, &st);
     if (st.kind == STATUS_OK) {
         bundle_free(&bundle);
     }
 }
 
-/* Texts too large, too deep, or with NUL bytes. */
+/* Documents that are too large, nested too deep or contain NUL bytes, and
+ * files that cannot be read. */
 static void
 test_hostile(void)
 {
@@ -177,18 +177,18 @@
     g_free(brackets);
 }
 
-/* A bundle and the one it may or may not follow. */
+/* A bundle, its successor and a part of the error message, NULL: valid. */
 struct successor {
     const char *name;
     const char *before, *after;
-    const char *fault;
+    const char *expected_error;
 };
 
 #define LEAVING                                                               \
     "{\"name\":\"a\",\"address\":\"10.0.0.1\",\"port\":80,\"state\":"         \
     "\"leaving\"}"
 
-static const struct successor successors[] = {
+static const struct successor successor_cases[] = {
     {"same", BUNDLE(FLOW("s", "10.1.0.1", U1)),
      BUNDLE(FLOW("s", "10.1.0.1", U1)), NULL},
     {"drop-a-serving-one", BUNDLE(FLOW("s", "10.1.0.1", U1 "," U2)),
@@ -201,7 +201,6 @@
      "bundle without it"},
 };
 
-/* Checks a successor. */
 static void
 test_successor(gconstpointer data)
 {
@@ -216,18 +215,19 @@
     g_assert_cmpint(bundle_read("a", s->after, strlen(s->after), &after, &st),
                     ==, STATUS_OK);
     (void)bundle_check_successor(&before, &after, &st);
-    g_assert_cmpint(st.kind, ==, s->fault ? STATUS_REFUSED : STATUS_OK);
-    if (s->fault != NULL) {
-        g_assert_nonnull(strstr(st.message, s->fault));
+    g_assert_cmpint(st.kind, ==,
+                    s->expected_error ? STATUS_REFUSED : STATUS_OK);
+    if (s->expected_error != NULL) {
+        g_assert_nonnull(strstr(st.message, s->expected_error));
     }
     bundle_free(&before);
     bundle_free(&after);
 }
 
-/* Applies a submission with its sign-off and the start of its roll-out. */
+/* Applies a submission, its sign-off and the first step of its roll-out. */
 static enum status_kind
-roll_out(wire_control_state *state, uint64_t version, uint64_t base,
-         const char *services, uint64_t wall)
+apply_roll_out(wire_control_state *state, uint64_t version, uint64_t base,
+               const char *services, uint64_t wall)
 {
     char *text = g_strdup_printf("{\"version\":%llu,\"base\":%llu,"
                                  "\"services\":[%s]}",
@@ -259,10 +259,10 @@
     return result;
 }
 
-/* The log itself refuses what would misdeliver, whatever was checked before a
- * submission entered it; and an endpoint rests to the last millisecond. */
+/* The state machine must refuse a submission that moves an upstream to another
+ * service within the cooldown, even if it passed the checks before. */
 static void
-test_rest(void)
+test_cooldown(void)
 {
     static const char *const both = FLOW("s", "10.1.0.1", LEAVING "," U2);
     static const char *const moved =
@@ -272,23 +272,28 @@
     wire_control_state state;
 
     control_state_open(&state);
-    g_assert_cmpint(roll_out(&state, 1, 0, both, 1000), ==, STATUS_OK);
-    g_assert_cmpint(roll_out(&state, 2, 1, moved, 1500), ==, STATUS_REFUSED);
+    g_assert_cmpint(apply_roll_out(&state, 1, 0, both, 1000), ==, STATUS_OK);
+    g_assert_cmpint(apply_roll_out(&state, 2, 1, moved, 1500), ==,
+                    STATUS_REFUSED);
     g_assert_cmpint((int)state.current, ==, 1);
-    g_assert_cmpint(roll_out(&state, 3, 1, left, 2000), ==, STATUS_OK);
-    g_assert_cmpint(roll_out(&state, 4, 3, moved, end - 1), ==,
+    g_assert_cmpint(apply_roll_out(&state, 3, 1, left, 2000), ==, STATUS_OK);
+    g_assert_cmpint(apply_roll_out(&state, 4, 3, moved, end - 1), ==,
                     STATUS_REFUSED);
-    g_assert_cmpint(roll_out(&state, 4, 3, left, end - 1), ==, STATUS_OK);
-    g_assert_cmpint(roll_out(&state, 5, 4, moved, end - 1), ==,
+    g_assert_cmpint(apply_roll_out(&state, 4, 3, left, end - 1), ==,
+                    STATUS_OK);
+    g_assert_cmpint(apply_roll_out(&state, 5, 4, moved, end - 1), ==,
                     STATUS_REFUSED);
-    g_assert_cmpint(roll_out(&state, 5, 4, both, end - 1), ==, STATUS_OK);
-    g_assert_cmpint(roll_out(&state, 6, 5, left, end - 1), ==, STATUS_OK);
-    g_assert_cmpint(roll_out(&state, 7, 6, moved, 2 * end), ==, STATUS_OK);
+    g_assert_cmpint(apply_roll_out(&state, 5, 4, both, end - 1), ==,
+                    STATUS_OK);
+    g_assert_cmpint(apply_roll_out(&state, 6, 5, left, end - 1), ==,
+                    STATUS_OK);
+    g_assert_cmpint(apply_roll_out(&state, 7, 6, moved, 2 * end), ==,
+                    STATUS_OK);
     g_assert_cmpint((int)state.current, ==, 7);
     control_state_close(&state);
 }
 
-/* Builds an encapsulated packet; returns its length. */
+/* Builds a Geneve packet with an odd payload; returns its length. */
 static size_t
 build_packet(uint8_t *out, uint8_t protocol)
 {
@@ -312,8 +317,8 @@
     return PACKET_GENEVE_BYTES + total;
 }
 
-/* Rewriting keeps both checksums right, and the wrap of a handed packet
- * gives back what was put in. */
+/* Rewritten addresses and ports must keep the checksums valid, and the
+ * forwarding option must be parsed as it was written. */
 static void
 test_rewrite(void)
 {
@@ -323,10 +328,10 @@
         uint8_t buffer[PACKET_HEADROOM + 256];
         uint8_t *bytes = buffer + PACKET_HEADROOM;
         size_t length = build_packet(bytes, protocols[i % 2]);
-        struct packet_forwarding hand = {
+        struct packet_forwarding forwarding = {
             .origin = i * 77ULL, .position = 2, .hops = 1, .asked = {5, 6}};
         struct packet packet;
-        struct packet again;
+        struct packet forwarded;
         uint8_t *at;
 
         g_assert_true(packet_parse(bytes, length, &packet));
@@ -334,16 +339,16 @@
         packet_set_destination(&packet, i * 2654435761U, (uint16_t)(i * 31));
         packet_set_source(&packet, i * 40503U, (uint16_t)(i * 7));
         g_assert_true(packet_checksums_valid(packet.ip, packet.length));
-        at = packet_encapsulate(&packet, &hand, &length);
-        g_assert_true(packet_parse(at, length, &again));
-        g_assert_true(again.handed);
-        g_assert_cmpuint(again.forwarding.origin, ==, hand.origin);
-        g_assert_cmpuint(again.forwarding.position, ==, 2);
-        g_assert_cmpuint(again.forwarding.asked[1], ==, 6);
+        at = packet_encapsulate(&packet, &forwarding, &length);
+        g_assert_true(packet_parse(at, length, &forwarded));
+        g_assert_true(forwarded.handed);
+        g_assert_cmpuint(forwarded.forwarding.origin, ==, forwarding.origin);
+        g_assert_cmpuint(forwarded.forwarding.position, ==, 2);
+        g_assert_cmpuint(forwarded.forwarding.asked[1], ==, 6);
     }
 }
 
-/* Mutated packets are parsed within their bounds, or refused. */
+/* Mutated packets must not be parsed beyond their end. */
 static void
 test_fuzz_packets(void)
 {
@@ -353,19 +358,20 @@
     for (int i = 0; i < 200000; i++) {
         uint8_t good[256];
         size_t length = build_packet(good, i % 2 ? PACKET_TCP : PACKET_UDP);
-        size_t cut = (size_t)g_rand_int_range(random, 0, (gint)length + 1);
-        uint8_t *bytes = g_memdup2(good, cut);
+        size_t length_kept =
+            (size_t)g_rand_int_range(random, 0, (gint)length + 1);
+        uint8_t *bytes = g_memdup2(good, length_kept);
         struct packet packet;
 
-        for (int flips = g_rand_int_range(random, 0, 4); flips > 0 && cut > 0;
-             flips--) {
-            bytes[g_rand_int_range(random, 0, (gint)cut)] ^=
+        for (int flips = g_rand_int_range(random, 0, 4);
+             flips > 0 && length_kept > 0; flips--) {
+            bytes[g_rand_int_range(random, 0, (gint)length_kept)] ^=
                 (uint8_t)(1U << g_rand_int_range(random, 0, 8));
         }
-        if (packet_parse(bytes, cut, &packet)) {
+        if (packet_parse(bytes, length_kept, &packet)) {
             parsed++;
             g_assert_true(packet.ip >= bytes);
-            g_assert_true(packet.ip + packet.length <= bytes + cut);
+            g_assert_true(packet.ip + packet.length <= bytes + length_kept);
             packet_set_source(&packet, 1, 1);
         }
         g_free(bytes);
@@ -374,9 +380,9 @@
     g_rand_free(random);
 }
 
-/* A message of each kind, as a start for mutations. */
+/* Encodes a message whose kind depends on `i`. */
 static GByteArray *
-some_message(int i)
+build_message(int i)
 {
     wire_log_entry entry = {
         .term = 3, .command = {.command_len = 4, .command_val = "\0\0\0\0"}};
@@ -413,7 +419,7 @@
     return codec_encode(&msg);
 }
 
-/* Mutated messages are decoded or refused, and freed. */
+/* Mutated messages must not crash or leak in the decoder. */
 static void
 test_fuzz_messages(void)
 {
@@ -421,7 +427,7 @@
     unsigned decoded = 0;
 
     for (int i = 0; i < 100000; i++) {
-        GByteArray *bytes = some_message(i);
+        GByteArray *bytes = build_message(i);
         wire_msg msg;
 
         g_assert_cmpuint(bytes->len, >, 0);
@@ -444,7 +450,7 @@
     g_rand_free(random);
 }
 
-/* Every input of the corpus is read or refused. */
+/* The parsers must not crash on any input of the corpus. */
 static void
 test_corpus(void)
 {
@@ -468,7 +474,7 @@
     g_assert_cmpuint(inputs, >, 0);
 }
 
-/* Mutated JSON never crashes, and whatever is accepted is whole. */
+/* Mutated JSON must not crash the parser; accepted bundles have services. */
 static void
 test_fuzz_json(void)
 {
@@ -497,7 +503,7 @@
     g_rand_free(random);
 }
 
-/* A sealed message opens with its key only, and unchanged only. */
+/* Decryption must fail with another key, a changed byte or a short message. */
 static void
 test_seal(void)
 {
@@ -520,7 +526,8 @@
     g_byte_array_unref(sealed);
 }
 
-/* Burn rates: a hundredth of bad events against a thousandth allowed. */
+/* 1 percent of bad events with a budget of 0.1 percent is a burn rate of 10;
+ * events older than the window do not count. */
 static void
 test_burn(void)
 {
@@ -555,7 +562,7 @@
     g_hash_table_destroy(table);
 }
 
-/* Verification passes a true record of a decision and catches false ones. */
+/* Verification accepts the record of a decision and detects changed ones. */
 static void
 test_verify(void)
 {
@@ -571,7 +578,7 @@
     json_object *doc = json_object_new_object();
     struct flow *flow;
     char text[64];
-    char why[256];
+    char reason[256];
 
     ring_open(&ring, 16);
     flow = flow_new(&options);
@@ -595,23 +602,22 @@
     json_object_object_add(doc, "owner_now", json_object_new_string(text));
     json_object_object_add(doc, "upstream", json_object_new_string(text));
     g_assert_true(
-        explain_verify_flow(&bundle, "s", 12345, doc, why, sizeof(why)));
+        explain_verify_flow(&bundle, "s", 12345, doc, reason, sizeof(reason)));
     json_object_object_add(doc, "upstream",
                            json_object_new_string("10.0.0.9:80"));
     g_assert_false(
-        explain_verify_flow(&bundle, "s", 12345, doc, why, sizeof(why)));
-    g_assert_nonnull(strstr(why, "10.0.0.9:80"));
+        explain_verify_flow(&bundle, "s", 12345, doc, reason, sizeof(reason)));
+    g_assert_nonnull(strstr(reason, "10.0.0.9:80"));
     json_object_object_add(doc, "table_digest",
                            json_object_new_string("0000000000000000"));
     g_assert_false(
-        explain_verify_flow(&bundle, "s", 12345, doc, why, sizeof(why)));
+        explain_verify_flow(&bundle, "s", 12345, doc, reason, sizeof(reason)));
     json_object_put(doc);
     bundle_free(&bundle);
     flow_free(flow);
     ring_close(&ring);
 }
 
-/* Adds a table of documents. */
 static void
 add_documents(const char *prefix, const struct document *all, size_t count,
               void (*test)(gconstpointer data))
@@ -625,7 +631,6 @@
     }
 }
 
-/* Adds the tables. */
 int
 main(int argc, char **argv)
 {
@@ -640,12 +645,12 @@
                   test_settings);
     add_documents("bundle", bundle_cases, G_N_ELEMENTS(bundle_cases),
                   test_bundle);
-    for (size_t i = 0; i < G_N_ELEMENTS(successors); i++) {
+    for (size_t i = 0; i < G_N_ELEMENTS(successor_cases); i++) {
         (void)snprintf(path, sizeof(path), "/input/successor/%s",
-                       successors[i].name);
-        g_test_add_data_func(path, &successors[i], test_successor);
+                       successor_cases[i].name);
+        g_test_add_data_func(path, &successor_cases[i], test_successor);
     }
-    g_test_add_func("/input/rest", test_rest);
+    g_test_add_func("/input/cooldown", test_cooldown);
     g_test_add_func("/input/hostile", test_hostile);
     g_test_add_func("/input/rewrite", test_rewrite);
     g_test_add_func("/input/fuzz-packets", test_fuzz_packets);
--- a/tests/test-store.c
+++ b/tests/test-store.c
@@ -1,6 +1,6 @@
 /*
- * What a control replica keeps on disk: torn tails, damage, a crash between
- * snapshot and log, and restarts, on real files.
+ * Guards against the loss of acknowledged log entries, terms and votes after
+ * torn writes, corrupted files, failed reads and crashes, on real files.
  */
 #include <fcntl.h>
 #include <glib.h>
@@ -14,7 +14,7 @@
 
 #define ENTRIES 500
 
-/* An open folder and the log written to it. */
+/* A data folder, its store and the consensus state loaded from it. */
 struct fixture {
     char *path;
     struct store store;
@@ -22,13 +22,14 @@
     enum store_tail_policy tail;
 };
 
-/* Opens a folder as a replica would. */
+/* Opens the data folder as a replica does at its start. */
 static enum status_kind
-open_folder(struct fixture *f, struct status *st)
+open_store(struct fixture *f, struct status *st)
 {
     const uint32_t replicas[1] = {1};
     wire_voter voter = {.replica = 1, .identity = 1};
-    wire_config founders = {.voters = {.voters_len = 1, .voters_val = &voter}};
+    wire_config initial_config = {
+        .voters = {.voters_len = 1, .voters_val = &voter}};
     struct cons_stored stored;
 
     st->kind = STATUS_OK;
@@ -40,14 +41,14 @@
         g_array_free(stored.log, TRUE);
         return st->kind;
     }
-    cons_open(&f->cons, 1, 1, f->store.identity, replicas, 1, &founders, 1,
-              &stored);
+    cons_open(&f->cons, 1, 1, f->store.identity, replicas, 1, &initial_config,
+              1, &stored);
     return STATUS_OK;
 }
 
-/* Closes what open_folder() opened. */
+/* Closes the store; also the consensus when open_store() succeeded. */
 static void
-close_folder(struct fixture *f, bool opened)
+close_replica(struct fixture *f, bool opened)
 {
     if (opened) {
         cons_close(&f->cons);
@@ -55,7 +56,7 @@
     store_close(&f->store);
 }
 
-/* Appends entries through consensus and stores them. */
+/* Proposes entries as a leader and stores them. */
 static void
 append(struct fixture *f, unsigned count)
 {
@@ -75,22 +76,21 @@
     }
 }
 
-/* Makes a founder's folder with some entries in it. */
+/* Creates the data folder of an initial voter with some entries. */
 static void
-make_folder(struct fixture *f, unsigned entries)
+make_data_folder(struct fixture *f, unsigned entries)
 {
     struct status st = {STATUS_OK, ""};
 
     f->path = g_dir_make_tmp("ridgeridge-store-XXXXXX", NULL);
     g_assert_cmpint(store_init(f->path, 1, &st), ==, STATUS_OK);
-    g_assert_cmpint(open_folder(f, &st), ==, STATUS_OK);
+    g_assert_cmpint(open_store(f, &st), ==, STATUS_OK);
     append(f, entries);
-    close_folder(f, true);
+    close_replica(f, true);
 }
 
-/* Removes the folder. */
 static void
-remove_folder(struct fixture *f)
+remove_data_folder(struct fixture *f)
 {
     static const char *const names[] = {"identity", "vote", "log", "snapshot",
                                         "lock"};
@@ -105,19 +105,19 @@
     g_free(f->path);
 }
 
-/* Changes bytes of the log file, or its length. */
-struct harm {
+/* A change of the log file and what opening it must report. */
+struct corruption {
     const char *name;
-    long flip_at; /* from the start, or from the end when negative */
-    long cut;     /* bytes off the end */
-    long zeros;   /* bytes of zero added at the end */
-    long junk;    /* bytes of junk added at the end */
-    enum status_kind expect;
-    unsigned kept; /* entries left of ten */
+    long flip_at;         /* offset, from the end when negative; 0: none */
+    long truncated_bytes; /* removed from the end */
+    long zero_bytes;      /* appended */
+    long junk_bytes;      /* appended */
+    enum status_kind expected;
+    unsigned entries; /* of 10, after loading */
     enum store_tail_policy tail;
 };
 
-static const struct harm harms[] = {
+static const struct corruption corruptions[] = {
     {"untouched", 0, 0, 0, 0, STATUS_OK, 10, STORE_TAIL_STRICT},
     {"torn-in-a-command", 0, 3, 0, 0, STATUS_OK, 9, STORE_TAIL_STRICT},
     {"torn-in-a-header", 0, 75, 0, 0, STATUS_OK, 8, STORE_TAIL_STRICT},
@@ -130,7 +130,7 @@
      STORE_TAIL_STRICT},
     {"flip-in-the-magic", 2, 0, 0, 0, STATUS_DAMAGED, 0, STORE_TAIL_STRICT},
     {"empty", 0, 1000000, 0, 0, STATUS_OK, 0, STORE_TAIL_STRICT},
-    /* Where a loss of power may tear what was not synced. */
+    /* With power loss the unsynced end of the log may be torn. */
     {"torn/untouched", 0, 0, 0, 0, STATUS_OK, 10, STORE_TAIL_TOLERANT},
     {"torn/cut-in-a-command", 0, 3, 0, 0, STATUS_OK, 9, STORE_TAIL_TOLERANT},
     {"torn/flip-in-the-last-record", -2, 0, 0, 0, STATUS_OK, 9,
@@ -144,9 +144,8 @@
      STORE_TAIL_TOLERANT},
 };
 
-/* Harms the log file. */
 static void
-do_harm(const struct fixture *f, const struct harm *h)
+corrupt_log(const struct fixture *f, const struct corruption *c)
 {
     char *name = g_build_filename(f->path, "log", NULL);
     char *bytes = NULL;
@@ -155,18 +154,19 @@
 
     g_assert_true(g_file_get_contents(name, &bytes, &length, NULL));
     out = g_string_new_len(bytes, (gssize)length);
-    if (h->flip_at != 0) {
+    if (c->flip_at != 0) {
         size_t at =
-            h->flip_at > 0 ? (size_t)h->flip_at : length - (size_t)-h->flip_at;
+            c->flip_at > 0 ? (size_t)c->flip_at : length - (size_t)-c->flip_at;
 
         out->str[at] ^= 0x10;
     }
-    g_string_truncate(out,
-                      h->cut >= (long)length ? 0 : length - (gsize)h->cut);
-    for (long i = 0; i < h->zeros; i++) {
+    g_string_truncate(out, c->truncated_bytes >= (long)length
+                               ? 0
+                               : length - (gsize)c->truncated_bytes);
+    for (long i = 0; i < c->zero_bytes; i++) {
         g_string_append_c(out, '\0');
     }
-    for (long i = 0; i < h->junk; i++) {
+    for (long i = 0; i < c->junk_bytes; i++) {
         g_string_append_c(out, 'j');
     }
     g_assert_true(g_file_set_contents(name, out->str, (gssize)out->len, NULL));
@@ -175,36 +175,36 @@
     g_free(name);
 }
 
-/* Harms a log of ten entries and opens it. */
+/* A torn end is truncated, other corruption is refused. */
 static void
-test_harm(gconstpointer data)
+test_corruption(gconstpointer data)
 {
-    const struct harm *h = data;
-    struct fixture f = {.tail = h->tail};
+    const struct corruption *c = data;
+    struct fixture f = {.tail = c->tail};
     struct status st;
     bool opened;
 
-    make_folder(&f, 10);
-    do_harm(&f, h);
-    opened = open_folder(&f, &st) == STATUS_OK;
-    g_assert_cmpint(st.kind, ==, h->expect);
+    make_data_folder(&f, 10);
+    corrupt_log(&f, c);
+    opened = open_store(&f, &st) == STATUS_OK;
+    g_assert_cmpint(st.kind, ==, c->expected);
     if (opened) {
-        g_assert_cmpuint(cons_last_index(&f.cons), ==, h->kept);
-        /* What is appended after a cut is there at the next start. */
+        g_assert_cmpuint(cons_last_index(&f.cons), ==, c->entries);
+        /* Entries appended after the truncation survive a restart. */
         append(&f, 2);
-        close_folder(&f, true);
-        g_assert_cmpint(open_folder(&f, &st), ==, STATUS_OK);
-        g_assert_cmpuint(cons_last_index(&f.cons), ==, h->kept + 2);
+        close_replica(&f, true);
+        g_assert_cmpint(open_store(&f, &st), ==, STATUS_OK);
+        g_assert_cmpuint(cons_last_index(&f.cons), ==, c->entries + 2);
     }
     else {
         g_assert_nonnull(strstr(st.message, "move the data folder aside"));
     }
-    close_folder(&f, opened);
-    remove_folder(&f);
+    close_replica(&f, opened);
+    remove_data_folder(&f);
 }
 
-/* A file that is there and cannot be read is neither a new disk nor damage:
- * either would throw away what was acknowledged. */
+/* A file that exists but cannot be read is an I/O error. As a new disk or as
+ * damage it would lose acknowledged entries. */
 static void
 test_unreadable(gconstpointer data)
 {
@@ -213,18 +213,18 @@
     struct status st;
     char *path;
 
-    make_folder(&f, 3);
+    make_data_folder(&f, 3);
     path = g_build_filename(f.path, name, NULL);
     (void)g_unlink(path);
     g_assert_cmpint(g_mkdir(path, 0700), ==, 0);
-    g_assert_cmpint(open_folder(&f, &st), ==, STATUS_IO);
-    close_folder(&f, false);
+    g_assert_cmpint(open_store(&f, &st), ==, STATUS_IO);
+    close_replica(&f, false);
     g_assert_cmpint(g_rmdir(path), ==, 0);
     g_free(path);
-    remove_folder(&f);
+    remove_data_folder(&f);
 }
 
-/* Term and vote last over a restart; a damaged vote refuses to start. */
+/* Term and vote survive a restart; a damaged vote file is refused. */
 static void
 test_vote(void)
 {
@@ -232,23 +232,23 @@
     struct status st = {STATUS_OK, ""};
     char *name;
 
-    make_folder(&f, 1);
-    g_assert_cmpint(open_folder(&f, &st), ==, STATUS_OK);
+    make_data_folder(&f, 1);
+    g_assert_cmpint(open_store(&f, &st), ==, STATUS_OK);
     g_assert_cmpint(store_save_term(&f.store, 7, 3, &st), ==, STATUS_OK);
-    close_folder(&f, true);
-    g_assert_cmpint(open_folder(&f, &st), ==, STATUS_OK);
+    close_replica(&f, true);
+    g_assert_cmpint(open_store(&f, &st), ==, STATUS_OK);
     g_assert_cmpuint(f.cons.term, ==, 7);
     g_assert_cmpuint(f.cons.voted_for, ==, 3);
-    close_folder(&f, true);
+    close_replica(&f, true);
     name = g_build_filename(f.path, "vote", NULL);
     g_assert_true(g_file_set_contents(name, "short", 5, NULL));
     g_free(name);
-    g_assert_cmpint(open_folder(&f, &st), ==, STATUS_DAMAGED);
-    close_folder(&f, false);
-    remove_folder(&f);
+    g_assert_cmpint(open_store(&f, &st), ==, STATUS_DAMAGED);
+    close_replica(&f, false);
+    remove_data_folder(&f);
 }
 
-/* A second process may not use the folder. */
+/* A second process must not open the same data folder. */
 static void
 test_lock(void)
 {
@@ -256,16 +256,16 @@
     struct fixture other = {0};
     struct status st = {STATUS_OK, ""};
 
-    make_folder(&f, 1);
+    make_data_folder(&f, 1);
     other.path = f.path;
-    g_assert_cmpint(open_folder(&f, &st), ==, STATUS_OK);
-    g_assert_cmpint(open_folder(&other, &st), ==, STATUS_REFUSED);
-    close_folder(&other, false);
-    close_folder(&f, true);
-    remove_folder(&f);
+    g_assert_cmpint(open_store(&f, &st), ==, STATUS_OK);
+    g_assert_cmpint(open_store(&other, &st), ==, STATUS_REFUSED);
+    close_replica(&other, false);
+    close_replica(&f, true);
+    remove_data_folder(&f);
 }
 
-/* A folder without an identity gets one that is no founder's. */
+/* An empty data folder must not get the identity of an initial voter. */
 static void
 test_new_disk(void)
 {
@@ -273,15 +273,15 @@
     struct status st = {STATUS_OK, ""};
 
     f.path = g_dir_make_tmp("ridgeridge-store-XXXXXX", NULL);
-    g_assert_cmpint(open_folder(&f, &st), ==, STATUS_OK);
+    g_assert_cmpint(open_store(&f, &st), ==, STATUS_OK);
     g_assert_false(f.store.founder);
     g_assert_cmpuint(f.store.identity, >, CONS_VOTERS_MAX);
     g_assert_cmpint(store_init(f.path, 1, &st), ==, STATUS_REFUSED);
-    close_folder(&f, true);
-    remove_folder(&f);
+    close_replica(&f, true);
+    remove_data_folder(&f);
 }
 
-/* A snapshot replaces the log; a crash between the two is survived. */
+/* A snapshot replaces the log, also after a crash between the two writes. */
 static void
 test_snapshot(void)
 {
@@ -292,68 +292,68 @@
     char *old = NULL;
     gsize length = 0;
 
-    make_folder(&f, 40);
+    make_data_folder(&f, 40);
     log = g_build_filename(f.path, "log", NULL);
     g_assert_true(g_file_get_contents(log, &old, &length, NULL));
-    g_assert_cmpint(open_folder(&f, &st), ==, STATUS_OK);
+    g_assert_cmpint(open_store(&f, &st), ==, STATUS_OK);
     f.cons.commit_index = 40;
     cons_compact(&f.cons, 40, state);
     g_assert_cmpint(store_save_snapshot(&f.store, &f.cons, &st), ==,
                     STATUS_OK);
     append(&f, 3);
-    close_folder(&f, true);
-    g_assert_cmpint(open_folder(&f, &st), ==, STATUS_OK);
+    close_replica(&f, true);
+    g_assert_cmpint(open_store(&f, &st), ==, STATUS_OK);
     g_assert_cmpuint(f.cons.snapshot.index, ==, 40);
     g_assert_cmpuint(cons_last_index(&f.cons), ==, 43);
     g_assert_true(g_bytes_equal(f.cons.snapshot.state, state));
-    close_folder(&f, true);
-    /* The crash: the new snapshot with the old, shorter log. */
+    close_replica(&f, true);
+    /* After a crash: the new snapshot and half of the old log. */
     g_assert_true(g_file_set_contents(log, old, (gssize)length / 2, NULL));
-    g_assert_cmpint(open_folder(&f, &st), ==, STATUS_OK);
+    g_assert_cmpint(open_store(&f, &st), ==, STATUS_OK);
     g_assert_cmpuint(cons_last_index(&f.cons), ==, 40);
     append(&f, 2);
-    close_folder(&f, true);
-    g_assert_cmpint(open_folder(&f, &st), ==, STATUS_OK);
+    close_replica(&f, true);
+    g_assert_cmpint(open_store(&f, &st), ==, STATUS_OK);
     g_assert_cmpuint(cons_last_index(&f.cons), ==, 42);
-    close_folder(&f, true);
+    close_replica(&f, true);
     g_bytes_unref(state);
     g_free(old);
     g_free(log);
-    remove_folder(&f);
+    remove_data_folder(&f);
 }
 
-/* Five hundred entries are read again, and a cut of the end lasts. */
+/* The log survives a restart, as does its truncation. */
 static void
 test_restart(void)
 {
     struct fixture f = {0};
     struct status st = {STATUS_OK, ""};
-    gint64 began;
+    gint64 started_at;
 
-    make_folder(&f, ENTRIES);
-    began = g_get_monotonic_time();
-    g_assert_cmpint(open_folder(&f, &st), ==, STATUS_OK);
+    make_data_folder(&f, ENTRIES);
+    started_at = g_get_monotonic_time();
+    g_assert_cmpint(open_store(&f, &st), ==, STATUS_OK);
     g_test_message("%d entries read in %.1f ms", ENTRIES,
-                   (double)(g_get_monotonic_time() - began) / 1000.0);
+                   (double)(g_get_monotonic_time() - started_at) / 1000.0);
     g_assert_cmpuint(cons_last_index(&f.cons), ==, ENTRIES);
     g_assert_cmpint(store_truncate(&f.store, 400, &st), ==, STATUS_OK);
-    close_folder(&f, true);
-    g_assert_cmpint(open_folder(&f, &st), ==, STATUS_OK);
+    close_replica(&f, true);
+    g_assert_cmpint(open_store(&f, &st), ==, STATUS_OK);
     g_assert_cmpuint(cons_last_index(&f.cons), ==, 399);
-    close_folder(&f, true);
-    remove_folder(&f);
+    close_replica(&f, true);
+    remove_data_folder(&f);
 }
 
-/* An error of the disk is reported, with the remedy. */
+/* A full disk is reported with a remedy, and the replica steps down. */
 static void
-test_full(void)
+test_full_disk(void)
 {
     struct fixture f = {0};
     struct status st = {STATUS_OK, ""};
     int full;
 
-    make_folder(&f, 1);
-    g_assert_cmpint(open_folder(&f, &st), ==, STATUS_OK);
+    make_data_folder(&f, 1);
+    g_assert_cmpint(open_store(&f, &st), ==, STATUS_OK);
     full = open("/dev/full", O_RDWR);
     if (full >= 0) {
         (void)close(f.store.log_fd);
@@ -365,11 +365,10 @@
     cons_fail(&f.cons);
     cons_tick(&f.cons, 1000000);
     g_assert_cmpint(f.cons.role, ==, CONS_FOLLOWER);
-    close_folder(&f, true);
-    remove_folder(&f);
+    close_replica(&f, true);
+    remove_data_folder(&f);
 }
 
-/* Adds the tables. */
 int
 main(int argc, char **argv)
 {
@@ -377,9 +376,10 @@
 
     g_test_init(&argc, &argv, NULL);
     g_test_set_nonfatal_assertions();
-    for (size_t i = 0; i < G_N_ELEMENTS(harms); i++) {
-        (void)snprintf(path, sizeof(path), "/store/harm/%s", harms[i].name);
-        g_test_add_data_func(path, &harms[i], test_harm);
+    for (size_t i = 0; i < G_N_ELEMENTS(corruptions); i++) {
+        (void)snprintf(path, sizeof(path), "/store/harm/%s",
+                       corruptions[i].name);
+        g_test_add_data_func(path, &corruptions[i], test_corruption);
     }
     g_test_add_data_func("/store/unreadable/identity", "identity",
                          test_unreadable);
@@ -392,6 +392,6 @@
     g_test_add_func("/store/new-disk", test_new_disk);
     g_test_add_func("/store/snapshot", test_snapshot);
     g_test_add_func("/store/restart", test_restart);
-    g_test_add_func("/store/full", test_full);
+    g_test_add_func("/store/full", test_full_disk);
     return g_test_run();
 }
--- a/tools/bench-flow.c
+++ b/tools/bench-flow.c
@@ -15,45 +15,45 @@
 /* States of the 14 upstreams of both deployments: all serving. */
 #define ALL_SERVING "ssssssssssssss"
 
-static const struct flow_scene scenes[] = {
+static const struct flow_scenario scenes[] = {
     {.name = "calm", .length_ms = 40000},
     {.name = "drain",
-     .acts = {{2000, ACT_STATES, 0, "slssssssssssss"}},
+     .events = {{2000, LOAD_STATES, 0, "slssssssssssss"}},
      .length_ms = 40000},
     {.name = "join",
-     .acts = {{2000, ACT_STATES, 0, ALL_SERVING "s"}},
+     .events = {{2000, LOAD_STATES, 0, ALL_SERVING "s"}},
      .length_ms = 40000},
     {.name = "weights",
-     .acts = {{2000, ACT_WEIGHTS, 0, "55555555555559"}},
+     .events = {{2000, LOAD_WEIGHTS, 0, "55555555555559"}},
      .length_ms = 40000},
     {.name = "return",
-     .acts = {{1000, ACT_STATES, 0, "slssssssssssss"},
-              {12000, ACT_STATES, 0, ALL_SERVING}},
+     .events = {{1000, LOAD_STATES, 0, "slssssssssssss"},
+                {12000, LOAD_STATES, 0, ALL_SERVING}},
      .length_ms = 40000},
     {.name = "stop-entry",
-     .acts = {{2000, ACT_STOP, 3, NULL}, {15000, ACT_START, 3, NULL}},
+     .events = {{2000, LOAD_STOP, 3, NULL}, {15000, LOAD_START, 3, NULL}},
      .length_ms = 40000},
     {.name = "kill-entry",
-     .acts = {{2000, ACT_KILL, 3, NULL}, {15000, ACT_START, 3, NULL}},
+     .events = {{2000, LOAD_KILL, 3, NULL}, {15000, LOAD_START, 3, NULL}},
      .length_ms = 40000},
     {.name = "drain+kill-2",
-     .acts = {{2000, ACT_STATES, 0, "slssssssssssss"},
-              {7000, ACT_KILL, 3, NULL},
-              {13000, ACT_KILL, 4, NULL}},
+     .events = {{2000, LOAD_STATES, 0, "slssssssssssss"},
+                {7000, LOAD_KILL, 3, NULL},
+                {13000, LOAD_KILL, 4, NULL}},
      .length_ms = 40000},
     {.name = "views-5s-apart",
-     .acts = {{2000, ACT_CUT, 1, NULL},
-              {2000, ACT_CUT, 5, NULL},
-              {2200, ACT_STATES, 0, "slssssssssssss"},
-              {9000, ACT_CUT, 2, NULL},
-              {9200, ACT_STATES, 0, ALL_SERVING "s"}},
+     .events = {{2000, LOAD_PARTITION, 1, NULL},
+                {2000, LOAD_PARTITION, 5, NULL},
+                {2200, LOAD_STATES, 0, "slssssssssssss"},
+                {9000, LOAD_PARTITION, 2, NULL},
+                {9200, LOAD_STATES, 0, ALL_SERVING "s"}},
      .length_ms = 40000},
     {.name = "freeze-entry",
-     .acts = {{2000, ACT_FREEZE, 2, NULL},
-              {3000, ACT_STATES, 0, "slssssssssssss"}},
+     .events = {{2000, LOAD_FREEZE, 2, NULL},
+                {3000, LOAD_STATES, 0, "slssssssssssss"}},
      .length_ms = 40000},
     {.name = "udp-drain",
-     .acts = {{2000, ACT_STATES, 0, "slssssssssssss"}},
+     .events = {{2000, LOAD_STATES, 0, "slssssssssssss"}},
      .length_ms = 40000,
      .udp = true},
     {.name = "mix"},
@@ -78,8 +78,8 @@
 
 /* Runs a scene with one algorithm over all seeds and prints a row. */
 static void
-run_row(const struct flow_load *base, const struct flow_scene *scene,
-        enum way way, int seeds)
+run_row(const struct flow_load *base, const struct flow_scenario *scene,
+        enum flow_policy way, int seeds)
 {
     double *values = g_new0(double, (gsize)(FIGURES * seeds));
     double median[FIGURES];
@@ -89,15 +89,15 @@
 
     for (int seed = 0; seed < seeds; seed++) {
         struct flow_load load = *base;
-        char states[ACTS_MAX][UPSTREAMS_IN_MIX + 1];
-        struct flow_scene mix;
+        char states[LOAD_EVENTS_MAX][MIX_UPSTREAMS + 1];
+        struct flow_scenario mix;
         struct flow_result r;
 
-        load.way = way;
+        load.policy = way;
         load.seed = (uint64_t)seed + 1;
         if (strncmp(scene->name, "mix", 3) == 0) {
-            flow_load_mix(load.seed, load.entries, &mix, states,
-                          strcmp(scene->name, "mix") != 0);
+            flow_load_random_scenario(load.seed, load.entries, &mix, states,
+                                      strcmp(scene->name, "mix") != 0);
         }
         flow_load_run(&load, scene->length_ms ? scene : &mix, &r);
         values[BROKEN * seeds + seed] = r.broken;
@@ -115,7 +115,7 @@
         broken += r.broken;
         broken_seeds += r.broken > 0;
         established += r.established;
-        if (way == WAY_KEEPERS && r.broken > 0) {
+        if (way == POLICY_KEEPERS && r.broken > 0) {
             (void)fprintf(stderr, "%s seed %d: %s\n", scene->name, seed + 1,
                           r.first_broken);
         }
@@ -125,7 +125,7 @@
     }
     (void)printf("%-15s %-15s %8.0f %7.0f %3d %8.4f %5.0f %6.3f %6.3f %6.3f "
                  "%6.2f %6.0f %5.0f %6.0f %5.0f\n",
-                 scene->name, flow_load_way(way), median[BROKEN],
+                 scene->name, flow_load_policy_name(way), median[BROKEN],
                  values[BROKEN * seeds + seeds - 1], broken_seeds,
                  100.0 * broken / MAX(1.0, established), median[LATE],
                  median[MEDIAN], median[WORST], median[END], median[HOPS],
@@ -167,10 +167,11 @@
             strcmp(only_scene, scenes[i].name) != 0) {
             continue;
         }
-        for (int way = 0; way < WAY_COUNT; way++) {
+        for (int way = 0; way < POLICY_COUNT; way++) {
             if (strcmp(only_way, "all") == 0 ||
-                strcmp(only_way, flow_load_way((enum way)way)) == 0) {
-                run_row(&base, &scenes[i], (enum way)way, seeds);
+                strcmp(only_way,
+                       flow_load_policy_name((enum flow_policy)way)) == 0) {
+                run_row(&base, &scenes[i], (enum flow_policy)way, seeds);
             }
         }
     }
--- a/tools/bench-request.c
+++ b/tools/bench-request.c
@@ -81,7 +81,7 @@
     }
     (void)printf("%-13s %-10s %8u %6.2f %6u %6u %5u %5u %5u %5u %5u %7.1f "
                  "%7.1f %5.2f %6.3f %6.2f %6.1f %6.0f\n",
-                 scene, request_load_way(base->way), sum.requests,
+                 scene, request_load_policy_name(base->policy), sum.requests,
                  100.0 * sum.answered / MAX(1, sum.requests), sum.not_run,
                  sum.unknown, sum.lost, sum.run_twice, sum.false_not_run,
                  sum.wrong, sum.late_at_leaving,
@@ -92,7 +92,7 @@
                  100.0 * sum.retried / MAX(1, sum.requests),
                  100.0 * sum.returned_ok / MAX(1, sum.returned),
                  median_of(values[4], (size_t)seeds));
-    if (base->way == REQ_GATE) {
+    if (base->policy == REQ_GATE) {
         print_rules(&sum);
     }
     (void)fflush(stdout);
@@ -119,10 +119,10 @@
 
     (void)printf("%s, %d seeds\n", meals ? "meals" : "argoat", seeds);
     print_header();
-    for (int way = 0; way < REQ_WAYS; way++) {
+    for (int way = 0; way < REQ_POLICIES; way++) {
         struct request_load load = base;
 
-        load.way = (enum request_way)way;
+        load.policy = (enum request_policy)way;
         if (all || strcmp(only_group, "load") == 0) {
             load.load = 0.8;
             run_row("load-80%", &load, seeds);
@@ -137,8 +137,8 @@
             run_row("overload-2x", &load, seeds);
         }
     }
-    for (int t = 0; t < REQ_TROUBLES; t++) {
-        const char *name = request_load_trouble((enum request_trouble)t);
+    for (int t = 0; t < REQ_FAULTS; t++) {
+        const char *name = request_load_fault_name((enum request_fault)t);
 
         for (int way = 0; way < 2; way++) {
             struct request_load load = base;
@@ -146,8 +146,8 @@
             if (!all && strcmp(only_group, name) != 0) {
                 continue;
             }
-            load.way = (enum request_way)way;
-            load.trouble = (enum request_trouble)t;
+            load.policy = (enum request_policy)way;
+            load.fault = (enum request_fault)t;
             load.load = 0.5;
             load.loss = 2;
             load.duplicates = true;
