--- a/Makefile
+++ b/Makefile
@@ -3,7 +3,7 @@
 #   make tests      the test programs
 #   make SANITIZE=1 either of them in build-asan with ASan and UBSan
 PACKAGES := libtirpc popt json-c libsodium libxxhash glib-2.0 zlib
-# Opened by dlopen(3) in the commands that need them: library.h.
+# Loaded by dlopen(3) at run time; see library.h.
 DLOPEN := libulfius libcurl libmicrohttpd
 BUILD := build
 OPTIMIZE := -O2
--- a/auth.h
+++ b/auth.h
@@ -17,7 +17,7 @@
 auth_find_operator(const struct settings *settings,
                    const struct _u_request *request);
 
-/** SHA-256 of a NUL-terminated label followed by bytes, cut to WIRE_KEY. */
+/** First WIRE_KEY bytes of SHA-256 over a label, its NUL and the bytes. */
 void auth_hash_labelled(const char *label, const void *bytes, size_t length,
                         char out[WIRE_KEY]);
 
--- a/bundle.c
+++ b/bundle.c
@@ -11,9 +11,9 @@
 
 #define PORT_MAX 65535
 
-static const char *const kind_words[] = {"flow", "request", NULL};
-static const char *const protocol_words[] = {"tcp", "udp", NULL};
-static const char *const state_words[] = {"serving", "leaving", NULL};
+static const char *const kind_names[] = {"flow", "request", NULL};
+static const char *const protocol_names[] = {"tcp", "udp", NULL};
+static const char *const state_names[] = {"serving", "leaving", NULL};
 
 #define AT(field) offsetof(struct bundle_upstream, field)
 static const struct schema_field upstream_fields[] = {
@@ -53,7 +53,7 @@
      .help = "give the maximum number of concurrent requests"},
     {.key = "state",
      .type = SCHEMA_ENUM,
-     .names = state_words,
+     .names = state_names,
      .offset = AT(state),
      .help = "write \"serving\" or \"leaving\""},
     {.key = "hall",
@@ -106,7 +106,7 @@
     {.key = "kind",
      .type = SCHEMA_ENUM,
      .required = true,
-     .names = kind_words,
+     .names = kind_names,
      .offset = AT(kind),
      .help = "write \"flow\" or \"request\""},
     {.key = "address",
@@ -121,7 +121,7 @@
      .help = "give a port, 1 to 65535"},
     {.key = "protocol",
      .type = SCHEMA_ENUM,
-     .names = protocol_words,
+     .names = protocol_names,
      .offset = AT(protocol),
      .help = "write \"tcp\" or \"udp\""},
     {.key = "host",
--- a/bundle.h
+++ b/bundle.h
@@ -92,7 +92,7 @@
 /**
  * Refuses to reassign an endpoint to another service, since entries with an
  * older table would send it packets of the old one, and to remove an upstream
- * that is not leaving, since its flows would be cut.
+ * that is not leaving, since that would break its flows.
  */
 enum status_kind bundle_check_successor(const struct bundle *before,
                                         const struct bundle *after,
--- a/claim.h
+++ b/claim.h
@@ -41,7 +41,7 @@
 struct claim_table {
     GHashTable *records; /**< wire_key to struct claim_record */
     GArray *absorbed;    /**< struct claim_absorbed */
-    wire_absorbed reply_absorbed[WIRE_ABSORBED_MAX]; /**< lent to replies */
+    wire_absorbed reply_absorbed[WIRE_ABSORBED_MAX]; /**< in replies */
     GHashTable *received; /**< handover to received sequence numbers */
     uint64_t self;        /**< this entry's id */
 };
@@ -74,7 +74,7 @@
                          const struct member_set *after, uint64_t receiver,
                          GPtrArray *out);
 
-/** Whether `stopping` hands a key's record over to `receiver`. */
+/** True if `stopping` has to hand over a key's record to `receiver`. */
 bool claim_needs_handover(const struct member_set *before,
                           const struct member_set *after, const char *key,
                           uint64_t receiver, uint64_t stopping);
--- a/cmd-explain.c
+++ b/cmd-explain.c
@@ -20,7 +20,7 @@
     struct status *st;
     int64_t kept_since;  /* ms since 1970; older decisions may be missing */
     unsigned verified;   /* decisions equal to their recomputation */
-    unsigned mismatches; /* decisions that differ, and wrong counters */
+    unsigned mismatches; /* decisions and counters that differ */
 };
 
 static void
@@ -327,12 +327,12 @@
     print_summary(context);
 }
 
-/* explain bundle: the version at each entry against control's. */
+/* explain bundle: the version applied by each entry. */
 static void
 explain_bundle(struct explain_context *context, const char **args)
 {
     json_object *answers;
-    size_t agree = 0;
+    size_t in_force_count = 0;
     size_t count;
 
     (void)args;
@@ -342,22 +342,23 @@
     count = json_object_array_length(answers);
     for (size_t i = 0; i < count; i++) {
         json_object *one = json_object_array_get_idx(answers, i);
-        bool same = (uint64_t)client_number(one, "version") ==
-                        context->bundle.version &&
-                    client_number(one, "step") >= FLOW_STEP_MOVE;
+        bool in_force = (uint64_t)client_number(one, "version") ==
+                            context->bundle.version &&
+                        client_number(one, "step") >= FLOW_STEP_MOVE;
 
-        agree += same;
+        in_force_count += in_force;
         (void)printf("  %-12s version %lld step %lld, lease %lld ms: %s\n",
                      client_text(one, "name"),
                      (long long)client_number(one, "version"),
                      (long long)client_number(one, "step"),
                      (long long)client_number(one, "lease_left_ms"),
-                     same ? "in force" : "NOT in force");
+                     in_force ? "in force" : "NOT in force");
     }
     (void)printf("version %llu is in force at %zu of the %zu entries that "
                  "answered\n",
-                 (unsigned long long)context->bundle.version, agree, count);
-    if (agree != count || context->unanswered->len > 0) {
+                 (unsigned long long)context->bundle.version, in_force_count,
+                 count);
+    if (in_force_count != count || context->unanswered->len > 0) {
         (void)status_set(context->st, STATUS_UNCONFIRMED,
                          "the bundle is not in force at every entry, or an "
                          "entry did not answer; see above");
--- a/cmd-init-control.c
+++ b/cmd-init-control.c
@@ -1,4 +1,4 @@
-/* ridgeridge init-control: creates the data directory of an initial voter. */
+/* ridgeridge init-control: creates the data folder of a bootstrap voter. */
 #include "cmd.h"
 #include "store.h"
 
--- a/cmd-status.c
+++ b/cmd-status.c
@@ -84,7 +84,7 @@
 {
     json_object *list = NULL;
     json_object *u = NULL;
-    int64_t placed = 0;
+    int64_t assigned = 0;
 
     for (size_t i = 0; i < json_object_array_length(answers); i++) {
         json_object *services = NULL;
@@ -98,12 +98,12 @@
             continue;
         }
         u = json_object_array_get_idx(list, upstream);
-        placed += client_number(u, "flows_placed");
+        assigned += client_number(u, "flows_placed");
     }
     if (u != NULL) {
         (void)printf("  %-14s %-22s %-8s flows placed %lld\n",
                      client_text(u, "name"), client_text(u, "endpoint"),
-                     client_text(u, "state"), (long long)placed);
+                     client_text(u, "state"), (long long)assigned);
     }
 }
 
--- a/cons-internal.h
+++ b/cons-internal.h
@@ -16,7 +16,7 @@
 void cons_voters_free(struct cons *cons);
 void cons_voters_rescan(struct cons *cons);
 void cons_voters_update(struct cons *cons);
-/* True when a quorum of voters meets the condition. */
+/* True if a quorum of voters meets the condition. */
 bool cons_quorum(const struct cons *cons, cons_voter_predicate test,
                  uint64_t data);
 bool cons_config_pending(const struct cons *cons);
--- a/cons-replicate.c
+++ b/cons-replicate.c
@@ -102,7 +102,6 @@
     cons_advance_commit(cons);
 }
 
-/* Tests whether a voter has stored the log up to an index. */
 static bool
 has_stored(const struct cons *cons, const wire_voter *voter, uint64_t index)
 {
@@ -118,7 +117,6 @@
             fault_is(FAULT_COUNT_ANY_IDENTITY));
 }
 
-/* Tests whether a voter has acknowledged a heartbeat round. */
 static bool
 acked_round(const struct cons *cons, const wire_voter *voter, uint64_t round)
 {
--- a/cons-voters.c
+++ b/cons-voters.c
@@ -143,10 +143,10 @@
     return true;
 }
 
-/* Tests whether the log records that the last configuration was committed:
- * the configuration was appended twice, or is in the snapshot. A restarted
- * replica does not know the commit index and would otherwise need a majority
- * of the old voters, whose disks may be gone. */
+/* True if the log records that the last configuration was committed: it was
+ * appended twice, or is in the snapshot. A restarted replica does not know the
+ * commit index and would otherwise need a majority of the old voters, whose
+ * disks may be gone. */
 bool
 cons_config_commit_logged(const struct cons *cons)
 {
--- a/cons.c
+++ b/cons.c
@@ -100,7 +100,6 @@
     }
 }
 
-/* Tests whether a voter granted its vote in the current election. */
 static bool
 granted_vote(const struct cons *cons, const wire_voter *voter, uint64_t unused)
 {
@@ -271,7 +270,6 @@
     count_votes(cons, now);
 }
 
-/* Tests whether a voter replied at or after a time. */
 static bool
 replied_since(const struct cons *cons, const wire_voter *voter, uint64_t since)
 {
--- a/control-core.c
+++ b/control-core.c
@@ -1,7 +1,7 @@
 /*
  * Applies committed commands, compacts the log, and completes operators'
- * requests. Entries' messages go to control-entries.c, a leader's own
- * proposals come from control-rollout.c.
+ * requests. control-entries.c handles the messages of entries,
+ * control-rollout.c makes the proposals of the leader.
  */
 #include "control-core.h"
 
@@ -190,8 +190,8 @@
     return false;
 }
 
-/* Compacts the log unless queued actions still have to save log entries: one
- * that is already committed would leave the log before it is saved. */
+/* Compacts the log unless queued actions have yet to save entries: a committed
+ * entry would be removed from the log before it is saved. */
 static void
 compact(struct control_core *core)
 {
@@ -467,7 +467,7 @@
     return (const struct control_action *)(void *)core->actions->data;
 }
 
-/* Gives the actions of cons.h back to it, which frees what they own. */
+/* Returns the actions of cons.h to it, so that it frees their memory. */
 void
 control_core_clear(struct control_core *core)
 {
--- a/control-core.h
+++ b/control-core.h
@@ -139,8 +139,7 @@
                                 uint64_t identity);
 
 /**
- * Tells whether every member of the epoch applies the current bundle to new
- * flows.
+ * True if every member of the epoch applies the current bundle to new flows.
  * @param missing receives the names of the other members, separated by commas
  */
 bool control_core_in_force(const struct control_core *core, char *missing,
--- a/control-http.c
+++ b/control-http.c
@@ -1,7 +1,7 @@
 /*
  * The operators' HTTP/JSON API of a control VM (ulfius): submit, sign off,
  * status, bundle, voters, metrics. Requests are authenticated and validated
- * here before the loop's thread passes them to the core.
+ * here before the event loop's thread passes them to the core.
  */
 #include <sodium.h>
 #include <stdlib.h>
@@ -83,7 +83,7 @@
                                             .size = sizeof(struct voters_body),
                                             .fields = voters_fields};
 
-/* A request that an HTTP thread passes to the loop's thread. */
+/* A request that an HTTP thread passes to the event loop's thread. */
 struct operator_request {
     struct control *control;
     struct control_waiter waiter;
@@ -151,7 +151,7 @@
                                req->voters.remove ? 0 : identity);
 }
 
-/* Loop's thread: validates the request and passes it to the core. */
+/* Event loop's thread: validates the request and passes it to the core. */
 static void
 submit_on_loop(void *data)
 {
@@ -185,7 +185,7 @@
     control_run_actions(control);
 }
 
-/* Loop's thread: copies status and bundle for the HTTP thread. */
+/* Event loop's thread: copies status and bundle for the HTTP thread. */
 static void
 read_state_on_loop(void *data)
 {
--- a/control-rollout.c
+++ b/control-rollout.c
@@ -194,13 +194,13 @@
     for (guint i = 0; i < core->entries->len; i++) {
         const struct control_entry *entry =
             g_ptr_array_index(core->entries, i);
-        bool known = false;
+        bool is_member = false;
 
         for (u_int j = 0; epoch != NULL && j < epoch->members.members_len;
              j++) {
-            known |= epoch->members.members_val[j].id == entry->self.id;
+            is_member |= epoch->members.members_val[j].id == entry->self.id;
         }
-        if (!known && now < entry->last_seen_at + CONTROL_LEASE_MS / 2 &&
+        if (!is_member && now < entry->last_seen_at + CONTROL_LEASE_MS / 2 &&
             !entry->self.stopping && out->len < WIRE_MEMBERS_MAX &&
             entry->lagging_since == 0 && !entry->stopped) {
             g_array_append_val(out, entry->self);
@@ -286,8 +286,8 @@
     return cons_propose(&core->cons, now, &command);
 }
 
-/* Gives the seat of a replica that lost its disk to its new identity once the
- * replica has caught up. */
+/* Replaces the identity of a voter that lost its disk once the replica has
+ * caught up. */
 static void
 propose_replaced_voters(struct control_core *core, uint64_t now)
 {
--- a/control-state.c
+++ b/control-state.c
@@ -149,7 +149,7 @@
 
 /* Starts the cooldown of endpoints that the pending bundle drops. */
 static void
-cool_down_removed(wire_control_state *state, uint64_t wall)
+start_cooldowns(wire_control_state *state, uint64_t wall)
 {
     struct bundle before;
     struct bundle after;
@@ -338,7 +338,7 @@
 static void
 start_rollout(wire_control_state *state, uint64_t wall)
 {
-    cool_down_removed(state, wall);
+    start_cooldowns(state, wall);
     if (state->current == 0) {
         drop_ended_epochs(state);
     }
--- a/control-state.h
+++ b/control-state.h
@@ -32,7 +32,8 @@
 /**
  * Checks a bundle against the current one and the endpoints in cooldown.
  * @param wall ms since 1970
- * @return STATUS_REFUSED, with the remedy, if it would misdeliver or cut flows
+ * @return STATUS_REFUSED, with the remedy, if it would misdeliver or break
+ * flows
  */
 enum status_kind control_state_check_bundle(const wire_control_state *state,
                                             uint64_t wall,
@@ -47,7 +48,7 @@
 /** Returns the current epoch; NULL before the first. */
 const wire_epoch *control_state_epoch(const wire_control_state *state);
 
-/** Tells whether an identity was removed from the voters for good. */
+/** True if an identity was removed from the voters permanently. */
 bool control_state_is_retired(const wire_control_state *state,
                               uint64_t identity);
 
--- a/control.h
+++ b/control.h
@@ -22,7 +22,7 @@
     struct status status; /**< the reply */
 };
 
-/** The process; the loop's thread owns its state. */
+/** The process; the event loop's thread owns its state. */
 struct control {
     struct settings settings; /**< of this VM */
     struct counters counters; /**< of this process */
--- a/entry-core.h
+++ b/entry-core.h
@@ -22,13 +22,11 @@
 #define ENTRY_PUSH_BURST_BYTES 30000U      /**< burst above the mean rate */
 #define ENTRY_PUSH_INTERVAL_MS 250U        /**< between pushes */
 #define ENTRY_HINT_INTERVAL_MS 4000U       /**< between batches of hints */
-#define ENTRY_SCAN_SLOTS 65536U       /**< flow table slots scanned a tick */
-#define ENTRY_NO_LEASE_EXIT_MS 20000U /**< after lease expiry: stop ends */
-#define ENTRY_EXPIRE_INTERVAL_MS                                              \
-    5000U                       /**< between expiry runs over claims          \
-                                 */
-#define ENTRY_STOP_MIN_MS 1000U /**< shortest planned stop */
-#define ENTRY_CONTROLS_MAX 7U   /**< control replicas */
+#define ENTRY_SCAN_SLOTS 65536U            /**< flow table slots per tick */
+#define ENTRY_NO_LEASE_EXIT_MS 20000U  /**< after lease expiry: stop ends */
+#define ENTRY_EXPIRE_INTERVAL_MS 5000U /**< between claim expiry runs */
+#define ENTRY_STOP_MIN_MS 1000U        /**< shortest planned stop */
+#define ENTRY_CONTROLS_MAX 7U          /**< control replicas */
 
 /** Effect that the owner of the core carries out. */
 enum entry_action_kind {
--- a/entry-gates.c
+++ b/entry-gates.c
@@ -139,10 +139,10 @@
 
     g_hash_table_iter_init(&iter, gate->held_slots);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        const struct gate_slot *hold = value;
+        const struct gate_slot *slot = value;
 
-        if (member_find(&core->members, hold->entry) == NULL) {
-            g_array_append_val(absent, hold->entry);
+        if (member_find(&core->members, slot->entry) == NULL) {
+            g_array_append_val(absent, slot->entry);
         }
     }
     for (guint i = 0; i < absent->len; i++) {
--- a/entry-peers.c
+++ b/entry-peers.c
@@ -41,15 +41,15 @@
 static void
 handle_datagram(struct entry *entry, const uint8_t *bytes, size_t length)
 {
-    GByteArray *plain = seal_decrypt(bytes, length);
+    GByteArray *plaintext = seal_decrypt(bytes, length);
     wire_msg msg;
 
     counter_add(&entry->counters, COUNTER_MSGS_IN, 1);
-    if (plain == NULL) {
+    if (plaintext == NULL) {
         counter_add(&entry->counters, COUNTER_MSGS_FORGED, 1);
         return;
     }
-    if (codec_decode(plain->data, plain->len, &msg)) {
+    if (codec_decode(plaintext->data, plaintext->len, &msg)) {
         if (is_flow_message(msg.kind)) {
             counter_add(&entry->counters, COUNTER_CONTROL_BYTES_IN, length);
         }
@@ -59,7 +59,7 @@
     else {
         counter_add(&entry->counters, COUNTER_MSGS_MALFORMED, 1);
     }
-    g_byte_array_unref(plain);
+    g_byte_array_unref(plaintext);
 }
 
 static void
--- a/entry-proxy.c
+++ b/entry-proxy.c
@@ -149,8 +149,8 @@
 
 /* Sends the request to the upstream or peer and waits for the response. */
 static enum gate_result
-perform(const struct entry_transaction *txn, const struct _u_request *request,
-        struct upstream_response *reply)
+send_request(const struct entry_transaction *txn,
+             const struct _u_request *request, struct upstream_response *reply)
 {
     struct curl_slist *headers = upstream_headers(txn, request);
     CURL *curl = library_curl.init();
@@ -317,7 +317,8 @@
     txn->deadline = txn->spec.deadline;
     txn->forwarded = true;
     g_byte_array_set_size(reply->body, 0);
-    if (perform(txn, request, reply) == GATE_REFUSED || reply->status == 0) {
+    if (send_request(txn, request, reply) == GATE_REFUSED ||
+        reply->status == 0) {
         return false;
     }
     respond_upstream(reply, response);
@@ -337,7 +338,7 @@
             .entry = entry, .token = txn->spec.token, .reply = &reply};
 
         g_byte_array_set_size(reply.body, 0);
-        event.result = perform(txn, request, &reply);
+        event.result = send_request(txn, request, &reply);
         loop_call(on_result, &event);
     }
     if (forward_to_peer(entry, txn, request, &reply, response)) {
--- a/entry-records.c
+++ b/entry-records.c
@@ -7,7 +7,7 @@
 
 #include "entry-internal.h"
 
-#define SEND_CLASS_MAX 256 /* records a call */
+#define SEND_CLASS_MAX 256 /* records per call */
 #define RESEND_INTERVAL_MS 300U
 #define RESEND_INTERVAL_MAX_MS 5000U
 #define RECORD_BYTES 16 /* of one record, XDR (RFC 4506) */
@@ -47,8 +47,8 @@
     send_records(core, peer, batch->records, count, batch);
 }
 
-/* Moves the records for the peer of sends[first] to `out`; clears their
- * `peer`. */
+/* Copies the records for the peer of sends[first] to `out` and clears their
+ * `peer`, which marks them as sent. */
 static u_int
 collect_records(struct flow_send *sends, size_t count, size_t first,
                 wire_flow_record *out)
@@ -166,7 +166,7 @@
 /* Sends a Bloom filter of this keeper's flows to all entries after one was
  * lost. */
 static void
-broadcast_known(struct entry_core *core, uint64_t now)
+broadcast_filter(struct entry_core *core, uint64_t now)
 {
     GBytes *filter = flow_build_filter(core->flow, now);
     wire_msg msg = {.kind = WIRE_KNOWN};
@@ -197,7 +197,7 @@
     /* Without a lease, the members may have removed this entry from their
      * epoch and then never acknowledge its pushes. */
     if (now < core->lease_deadline) {
-        broadcast_known(core, now);
+        broadcast_filter(core, now);
         resend(core, now);
         push_records(core, now);
     }
@@ -241,7 +241,7 @@
     }
 }
 
-/* True when the keepers acknowledged every record they must hold. */
+/* True if the keepers acknowledged all records pushed to them. */
 bool
 entry_records_confirmed(const struct entry_core *core)
 {
--- a/entry-status.c
+++ b/entry-status.c
@@ -14,8 +14,8 @@
                    const struct bundle_upstream *upstream)
 {
     json_object *out = json_object_new_object();
-    uint64_t placed = flow_assigned(entry->core->flow, upstream->address,
-                                    (uint16_t)upstream->port);
+    uint64_t assigned = flow_assigned(entry->core->flow, upstream->address,
+                                      (uint16_t)upstream->port);
 
     json_object_object_add(out, "name",
                            json_object_new_string(upstream->name));
@@ -25,7 +25,7 @@
         out, "state",
         json_object_new_string(upstream->state == BUNDLE_LEAVING ? "leaving"
                                                                  : "serving"));
-    page_add_number(out, "flows_placed", placed);
+    page_add_number(out, "flows_placed", assigned);
     return out;
 }
 
--- a/explain.c
+++ b/explain.c
@@ -99,7 +99,7 @@
     (void)address_format(u ? u->address : 0, u ? u->port : 0, out);
 }
 
-/* Whether a rule assigns the current owner of the bucket. */
+/* True if a rule assigns the current owner of the bucket. */
 static bool
 assigns_owner(const char *rule)
 {
--- a/fault.h
+++ b/fault.h
@@ -10,7 +10,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** What is turned off or done wrong. */
+/** A disabled safeguard or mechanism, or an injected error. */
 enum fault {
     FAULT_COUNT_ANY_IDENTITY, /**< count any identity as the voter */
     FAULT_NO_TERM_CHECK,      /**< commit entries of older terms; untested */
--- a/flow-internal.h
+++ b/flow-internal.h
@@ -1,6 +1,6 @@
 /**
  * @file flow-internal.h
- * Structures and functions shared by the flow-*.c files only.
+ * Structures and functions private to the flow-*.c files.
  */
 #ifndef RIDGERIDGE_FLOW_INTERNAL_H
 #define RIDGERIDGE_FLOW_INTERNAL_H
@@ -13,12 +13,12 @@
 #define FLOW_PROBE_MAX 32           /* linear probing distance, slots */
 #define FLOW_FLAG_ORIGIN 1U         /* this entry saw the first packet */
 #define FLOW_FLAG_CLOSING 2U        /* FIN or RST was seen */
-#define FLOW_QUERIES_SHIFT 4        /* bits 4 to 7: queries at a keeper */
-#define FLOW_QUERIES_MAX 4U         /* then a hint goes to the origin */
+#define FLOW_QUERIES_SHIFT 4        /* bits 4 to 7: queries to a keeper */
+#define FLOW_QUERIES_MAX 4U         /* queries until a hint is sent */
 #define FLOW_SEEN_BITS 24           /* seconds, wraps after 194 days */
 #define FLOW_STAMP_MS 600000U       /* unit of `move_stamps` */
-#define FLOW_ORPHANS_DELAY_MS 4000U /* origins push their records first */
-#define FLOW_FILTER_LEAD_MS 500U    /* filters are sent before that pass */
+#define FLOW_ORPHANS_DELAY_MS 4000U /* wait for pushes of the origins */
+#define FLOW_FILTER_LEAD_MS 500U    /* from the filters to that pass */
 #define FLOW_FILTER_BITS 10         /* Bloom filter bits per flow */
 #define FLOW_FILTER_HASHES 4        /* Bloom filter hash functions */
 #define FLOW_QUEUE_MAX 4096         /* queued FLOW_SEND_PUSH records */
@@ -42,8 +42,8 @@
 struct flow_service {
     char name[BUNDLE_NAME_MAX + 1];
     uint64_t key;          /* hash of the name */
-    uint32_t address;      /* that callers use */
-    uint16_t port;         /* that callers use */
+    uint32_t address;      /* virtual address, host order */
+    uint16_t port;         /* virtual port */
     uint8_t protocol;      /* enum bundle_protocol */
     uint32_t size;         /* buckets in `table` and `move_stamps` */
     uint32_t old_size;     /* buckets in `old_table`; 0: no such table */
@@ -69,18 +69,18 @@
     size_t upstream_size; /* length of `upstreams`; index 0 is unused */
     uint64_t version;
     enum flow_step step;
-    uint64_t flip_udp_at; /* then unknown UDP flows are new */
+    uint64_t flip_udp_at; /* end of FLOW_UDP_FLIP_MS */
     uint64_t lease_deadline;
     struct member_set members;
     struct member_set old_members; /* of the preceding epoch */
-    uint64_t replicated_at;        /* then new keepers have all records */
-    uint64_t orphans_until;        /* records of a lost origin may remain */
+    uint64_t replicated_at;        /* end of FLOW_REPLICATION_MS */
+    uint64_t orphans_until;        /* last expiry of a lost origin's records */
     enum flow_pass pass;
     bool move_pending;
     bool orphans_pending;
     bool epoch_pending;
     size_t cursor;           /* next slot to scan */
-    uint64_t orphan_pass_at; /* then other keepers' filters are here */
+    uint64_t orphan_pass_at; /* earliest start of PASS_ORPHANS */
     bool filter_due;         /* flow_build_filter() returns a filter */
     GHashTable *filters;     /* keeper's id to GBytes */
     GQueue send_queues[FLOW_SEND_PUSH + 1]; /* struct flow_send, by class */
--- a/flow-steer.c
+++ b/flow-steer.c
@@ -84,12 +84,12 @@
     s->out->position = position;
     s->out->hops = (uint8_t)(s->packet->hops + 1);
     s->out->origin =
-        s->packet->handed ? s->packet->origin : s->flow->options.self;
+        s->packet->forwarded ? s->packet->origin : s->flow->options.self;
     counter_add(s->flow->options.counters, COUNTER_PACKETS_TO_PEER, 1);
     record_decision(s);
 }
 
-/* Without a lease this entry may not decide; another member does. */
+/* Without a lease this entry may not decide; another member has to. */
 static void
 forward_to_any_entry(struct steering *s)
 {
@@ -116,7 +116,7 @@
         return;
     }
     record = flow_store_put(s->flow, s->now, s->packet->hash, upstream);
-    /* The origin saw the first packet; UDP has no mark for one. */
+    /* The origin saw the first packet, which UDP does not mark. */
     if ((s->packet->first || s->service->protocol == BUNDLE_UDP) &&
         s->packet->position == 0) {
         record->flags |= FLOW_FLAG_ORIGIN;
@@ -135,7 +135,8 @@
 replicate_decision(struct steering *s, upstream_id upstream)
 {
     uint64_t self = s->flow->options.self;
-    bool origin_has_record = !s->packet->handed || s->packet->origin == self;
+    bool origin_has_record =
+        !s->packet->forwarded || s->packet->origin == self;
 
     for (size_t i = 0; i < s->keeper_count; i++) {
         uint64_t id = s->keepers[i]->id;
@@ -261,7 +262,7 @@
 static void
 steer_unknown(struct steering *s)
 {
-    bool asked = s->packet->handed && s->packet->position > 0;
+    bool asked = s->packet->forwarded && s->packet->position > 0;
     bool moved_recently;
 
     if (s->now >= s->flow->lease_deadline) {
@@ -279,10 +280,10 @@
     assign(s, RULE_SETTLED, s->new_owner);
 }
 
-/* Sends a hint to an entry that asked FLOW_QUERIES_MAX times. Fewer queries
- * cost a hop per packet but no message, which suits short flows. */
+/* Counts the queries of an entry and sends it a hint after FLOW_QUERIES_MAX.
+ * A short flow ends before that and costs no hint. */
 static void
-note_query(struct steering *s, struct flow_record *record)
+count_query(struct steering *s, struct flow_record *record)
 {
     uint32_t asked = (record->flags >> FLOW_QUERIES_SHIFT) + 1;
 
@@ -305,9 +306,9 @@
     s->out->action = FLOW_FORWARD;
     s->out->rule = RULE_RECORDED;
     s->out->upstream = record->upstream;
-    if (s->packet->handed && s->packet->position > 0 &&
+    if (s->packet->forwarded && s->packet->position > 0 &&
         s->packet->origin != s->flow->options.self) {
-        note_query(s, record);
+        count_query(s, record);
     }
 }
 
--- a/flow.h
+++ b/flow.h
@@ -22,9 +22,9 @@
 #define FLOW_NO_UPSTREAM 0U        /**< no upstream_id is 0 */
 #define FLOW_IDLE_TIMEOUT_S 3600U  /**< idle record may be replaced */
 #define FLOW_CLOSING_TIMEOUT_S 60U /**< same, after FIN or RST */
-#define FLOW_MOVED_BUCKET_S 86400U /**< keepers are asked, after a move */
-#define FLOW_UDP_FLIP_MS 8000U     /**< then unknown UDP flows are new */
-#define FLOW_REPLICATION_MS 30000U /**< new keepers may lack records */
+#define FLOW_MOVED_BUCKET_S 86400U /**< queries after a bucket's move */
+#define FLOW_UDP_FLIP_MS 8000U     /**< delay of the UDP flip after MOVE */
+#define FLOW_REPLICATION_MS 30000U /**< until new keepers have records */
 #define FLOW_ASKED_KEEPERS 4       /**< keepers asked, across views */
 #define FLOW_HOPS_MAX 6U           /**< entries a packet may pass */
 #define FLOW_STALE_MS 30000U       /**< forwarding time after lease expiry */
@@ -49,7 +49,7 @@
     uint16_t service; /**< index from flow_find_service() */
     bool first;       /**< TCP SYN without ACK */
     bool closing;     /**< TCP FIN or RST */
-    bool handed;      /**< forwarded by another entry */
+    bool forwarded;   /**< by another entry */
     uint8_t position; /**< keepers asked so far, including this one */
     uint8_t hops;     /**< entries passed */
     uint16_t asked[FLOW_ASKED_KEEPERS]; /**< low 16 bits of keepers' ids */
--- a/library.h
+++ b/library.h
@@ -65,7 +65,7 @@
     LIBRARY_CURL_FUNCTIONS(LIBRARY_FIELD)
 };
 
-/** HTTP server of nodes; calls of entries that libulfius does not wrap. */
+/** HTTP server of nodes; for entries, functions that libulfius lacks. */
 struct library_microhttpd {
     LIBRARY_MICROHTTPD_FUNCTIONS(LIBRARY_FIELD)
 };
--- a/log.c
+++ b/log.c
@@ -49,7 +49,7 @@
     return &log_state.rates[LOG_EVENTS_MAX - 1];
 }
 
-/* Whether a line is within the rate limit; sets the number of lines
+/* True if a line is within the rate limit; sets the number of lines
  * suppressed before it. */
 static bool
 admit_line(const char *event, time_t now, unsigned *suppressed)
--- a/request-claim.c
+++ b/request-claim.c
@@ -97,7 +97,7 @@
     }
 }
 
-/* Also restarts a claim in a new epoch. */
+/* Starts a claim, or restarts it in a new epoch. */
 void
 request_start_claim(struct request_core *core, uint64_t now,
                     struct request *request)
@@ -116,9 +116,9 @@
                                 replica->result == WIRE_CLAIM_NONE);
 }
 
-/* No record of another request, or one that was granted after the epoch. */
+/* True unless another request claimed the key in this epoch or before. */
 static bool
-had_no_claim_in(const struct request_replica *replica, uint64_t epoch)
+had_no_claim_in_epoch(const struct request_replica *replica, uint64_t epoch)
 {
     return has_no_other_claim(replica) ||
            (replica->replied && replica->result == WIRE_CLAIM_HELD &&
@@ -148,11 +148,11 @@
                                 a->entry);
 }
 
-/* A stopped entry handed its records of this key over to a replica without
- * another claim, directly or through further stopped entries. */
+/* True if a stopped entry handed over its records of this key to a replica
+ * without another claim, directly or through further stopped entries. */
 static bool
-is_taken_over(const struct request_core *core, struct request *request,
-              uint64_t id, int depth)
+is_handed_over(const struct request_core *core, struct request *request,
+               uint64_t id, int depth)
 {
     for (guint i = 0; i < request->absorbed->len; i++) {
         const wire_absorbed *a =
@@ -165,7 +165,7 @@
         holder = find_replica(request, a->holder);
         if ((holder != NULL && has_no_other_claim(holder)) ||
             (depth > 0 &&
-             is_taken_over(core, request, a->holder, depth - 1))) {
+             is_handed_over(core, request, a->holder, depth - 1))) {
             return true;
         }
     }
@@ -190,9 +190,9 @@
             continue;
         }
         if ((epoch == 0 ? has_no_other_claim(replica)
-                        : had_no_claim_in(replica, number)) ||
-            is_taken_over(core, (struct request *)request, set[i]->id,
-                          ABSORBED_DEPTH_MAX)) {
+                        : had_no_claim_in_epoch(replica, number)) ||
+            is_handed_over(core, (struct request *)request, set[i]->id,
+                           ABSORBED_DEPTH_MAX)) {
             (*unclaimed)++;
         }
     }
@@ -300,8 +300,8 @@
     if (request->outcome.reason != 0) {
         return VERDICT_DONE;
     }
-    /* With a majority here, a holder has only a minority, or its grant is of
-     * an earlier epoch, whose replicas decide. */
+    /* Any other holder then has a minority of this epoch, or a grant of an
+     * earlier epoch, which evaluate_old_epochs() checks. */
     if (has_majority(core, request)) {
         return evaluate_old_epochs(core, request);
     }
--- a/request-epochs.c
+++ b/request-epochs.c
@@ -36,9 +36,9 @@
     g_list_free(all);
 }
 
-/* Appends the epochs that are older than the received ones. */
+/* Moves the epochs older than the received ones to `next`. */
 static size_t
-append_known(struct request_core *core, struct request_epoch *next,
+append_older(struct request_core *core, struct request_epoch *next,
              size_t count, uint64_t oldest, uint64_t now)
 {
     for (size_t i = 0; i < core->epoch_count; i++) {
@@ -72,7 +72,7 @@
            last->members.epoch > 1 && last->expires_at > now;
 }
 
-/* An ended epoch expires with the last of its records. */
+/* An ended epoch expires with the last of its key records. */
 void
 request_set_epochs(struct request_core *core, uint64_t now,
                    const struct member_set *alive,
@@ -81,13 +81,13 @@
 {
     struct request_epoch next[REQUEST_EPOCHS_MAX] = {0};
     uint64_t window = CLAIM_DEADLINE_MAX_MS + CLAIM_RETENTION_MS;
-    size_t kept = MIN(count, REQUEST_EPOCHS_MAX);
+    size_t next_count = MIN(count, REQUEST_EPOCHS_MAX);
 
     if (count == 0 || (core->epoch_count > 0 &&
                        epochs[0].epoch <= core->epochs[0].members.epoch)) {
         return;
     }
-    for (size_t i = 0; i < kept; i++) {
+    for (size_t i = 0; i < next_count; i++) {
         member_set_assign(&next[i].members, epochs[i].epoch, epochs[i].items,
                           epochs[i].count);
         next[i].expires_at = now + window;
@@ -96,9 +96,10 @@
         }
     }
     member_set_assign(&core->alive, alive->epoch, alive->items, alive->count);
-    kept = append_known(core, next, kept, epochs[kept - 1].epoch, now);
+    next_count = append_older(core, next, next_count,
+                              epochs[next_count - 1].epoch, now);
     memcpy(core->epochs, next, sizeof(next));
-    core->epoch_count = kept;
+    core->epoch_count = next_count;
     request_expire_epochs(core, now);
     core->epochs_truncated = has_gap(core, now);
     restart_claims(core, now);
--- a/request.h
+++ b/request.h
@@ -46,13 +46,13 @@
 struct request_spec {
     uint64_t token;         /**< unique on this entry */
     uint64_t service;       /**< hash of the service's name */
-    uint64_t subject;       /**< the same when the caller retries */
+    uint64_t subject;       /**< id of the caller, stable over retries */
     bool safe;              /**< may be retried (RFC 9110, 9.2.2) */
     bool keyed;             /**< has an Idempotency-Key */
     char key[WIRE_KEY];     /**< hash of service and key */
     char digest[WIRE_KEY];  /**< hash of method, target and body */
     uint64_t deadline;      /**< monotonic ms */
-    uint64_t wall_deadline; /**< the same in ms since 1970 */
+    uint64_t wall_deadline; /**< deadline in ms since 1970 */
 };
 
 /** Kind of an action. */
--- a/rpc.c
+++ b/rpc.c
@@ -59,26 +59,26 @@
 static void
 receive_envelope(const wire_envelope *envelope)
 {
-    GByteArray *plain =
+    GByteArray *plaintext =
         seal_decrypt(envelope->sealed.sealed_val, envelope->sealed.sealed_len);
     struct delivery *delivery;
 
     counter_add(rpc_state.counters, COUNTER_MSGS_IN, 1);
     counter_add(rpc_state.counters, COUNTER_CONTROL_BYTES_IN,
                 envelope->sealed.sealed_len);
-    if (plain == NULL) {
+    if (plaintext == NULL) {
         counter_add(rpc_state.counters, COUNTER_MSGS_FORGED, 1);
         return;
     }
     delivery = g_new0(struct delivery, 1);
-    if (codec_decode(plain->data, plain->len, &delivery->msg)) {
+    if (codec_decode(plaintext->data, plaintext->len, &delivery->msg)) {
         loop_post(on_delivery, delivery);
     }
     else {
         counter_add(rpc_state.counters, COUNTER_MSGS_MALFORMED, 1);
         g_free(delivery);
     }
-    g_byte_array_unref(plain);
+    g_byte_array_unref(plaintext);
 }
 
 /* Dispatch function of the RPC program. */
--- a/settings.h
+++ b/settings.h
@@ -55,7 +55,7 @@
     uint64_t peer_port;               /**< entry: UDP between entries */
     uint64_t fabric_port;             /**< entry: UDP, Geneve */
     uint64_t flow_capacity;           /**< entry: size of the flow table */
-    uint64_t ring_size;               /**< entry: decisions kept for explain */
+    uint64_t ring_size;               /**< entry: decisions held for explain */
     uint64_t request_threads; /**< entry: limit of concurrent requests */
     unsigned char cluster_key[SETTINGS_KEY_BYTES]; /**< encrypts messages */
     struct settings_fabric fabric;       /**< entry: destination of packets */
--- a/tests/sim.c
+++ b/tests/sim.c
@@ -498,7 +498,7 @@
     event = push_event(sim, sim->now + draw_delay(sim, from, to), EVENT_PACKET,
                        to);
     event->packet = *packet;
-    event->packet.handed = true;
+    event->packet.forwarded = true;
     event->packet.origin = verdict->origin;
     event->packet.position = verdict->position;
     event->packet.hops = verdict->hops;
--- a/tools/bench-capacity.c
+++ b/tools/bench-capacity.c
@@ -34,20 +34,22 @@
 
 /* Prints the median, minimum and maximum of the rounds. */
 static void
-print_row(const char *what, const char *size, double *values, const char *unit)
+print_row(const char *label, const char *size, double *values,
+          const char *unit)
 {
     median_sort(values, ROUNDS);
-    (void)printf("| %s | %s | %.1f | %.1f to %.1f | %s |\n", what, size,
+    (void)printf("| %s | %s | %.1f | %.1f to %.1f | %s |\n", label, size,
                  values[ROUNDS / 2], values[0], values[ROUNDS - 1], unit);
     (void)fflush(stdout);
 }
 
 /* Prints a row of a deterministic value. */
 static void
-print_exact_row(const char *what, const char *size, double value,
+print_exact_row(const char *label, const char *size, double value,
                 const char *unit)
 {
-    (void)printf("| %s | %s | %.1f | exact | %s |\n", what, size, value, unit);
+    (void)printf("| %s | %s | %.1f | exact | %s |\n", label, size, value,
+                 unit);
 }
 
 /* Returns a bundle with many services and upstreams; free with g_free(). */
--- a/tools/bench-warmup.c
+++ b/tools/bench-warmup.c
@@ -27,29 +27,29 @@
 #define UPSTREAMS_MAX 600
 
 /* Algorithm that limits the flows to a warming upstream. */
-enum way {
-    WAY_WEIGHT, /* its load counts 1.6 times */
-    WAY_SLOTS,  /* time slots of the nodes, by their clocks */
-    WAY_OWNERS, /* a few owner nodes send it a flow per second each */
-    WAY_GRANTS, /* its keeper grants each flow */
-    WAY_WAIT,   /* none while warm upstreams exist; else its owners */
-    WAY_COUNT
+enum policy {
+    POLICY_WEIGHT, /* its load counts 1.6 times */
+    POLICY_SLOTS,  /* time slots of the nodes, by their clocks */
+    POLICY_OWNERS, /* a few owner nodes send it a flow per second each */
+    POLICY_GRANTS, /* its keeper grants each flow */
+    POLICY_WAIT,   /* none while warm upstreams exist; else its owners */
+    POLICY_COUNT
 };
 
-static const char *const way_names[WAY_COUNT] = {"weight", "slots", "owners",
-                                                 "grants", "wait"};
+static const char *const policy_names[POLICY_COUNT] = {
+    "weight", "slots", "owners", "grants", "wait"};
 
 /* Faults. */
-enum trouble {
-    TROUBLE_NONE,
-    TROUBLE_VIEWS, /* each node lacks another tenth of the members */
-    TROUBLE_CLOCKS,
-    TROUBLE_KEEPERS, /* two keepers per upstream */
-    TROUBLE_COUNT
+enum fault {
+    FAULT_NONE,
+    FAULT_VIEWS, /* each node lacks another tenth of the members */
+    FAULT_CLOCKS,
+    FAULT_KEEPERS, /* two keepers per upstream */
+    FAULT_COUNT
 };
 
-static const char *const trouble_names[TROUBLE_COUNT] = {"none", "views",
-                                                         "clocks", "keepers"};
+static const char *const fault_names[FAULT_COUNT] = {"none", "views", "clocks",
+                                                     "keepers"};
 
 /* An open flow. */
 struct flow {
@@ -62,8 +62,8 @@
     unsigned nodes;
     unsigned upstreams;
     bool all_warming; /* false: every third */
-    enum way way;
-    enum trouble trouble;
+    enum policy policy;
+    enum fault fault;
     uint64_t random;
     uint64_t now;
     struct warmup_nodes views[NODES_MAX];
@@ -100,7 +100,7 @@
         model.views[n].self = n + 1;
         model.views[n].all = g_array_new(FALSE, FALSE, sizeof(uint32_t));
         for (uint32_t other = 1; other <= model.nodes; other++) {
-            if (model.trouble != TROUBLE_VIEWS || other == n + 1 ||
+            if (model.fault != FAULT_VIEWS || other == n + 1 ||
                 (n + other) % 10 != 0) {
                 g_array_append_val(all, other);
             }
@@ -108,7 +108,7 @@
         warmup_set_nodes(&model.views[n], all);
         g_array_free(all, TRUE);
         model.clock_offset[n] =
-            model.trouble == TROUBLE_CLOCKS && n % 3 == 0
+            model.fault == FAULT_CLOCKS && n % 3 == 0
                 ? CLOCK_SKEW_MS + random_next(&model.random) % CLOCK_SKEW_MS
                 : 0;
     }
@@ -129,7 +129,7 @@
     return count;
 }
 
-/* Whether the current time slot is the node's, by its own clock. */
+/* True if the current time slot is the node's, by its own clock. */
 static bool
 has_slot(unsigned n, unsigned upstream)
 {
@@ -141,39 +141,39 @@
            model.sent_at[n][upstream] + interval_ms < model.now;
 }
 
-/* Whether the keeper grants a flow. Two keepers each count only their own. */
+/* True if the keeper grants a flow. Two keepers each count only their own. */
 static bool
 is_granted(unsigned upstream)
 {
     unsigned flows_max =
-        FLOWS_PER_S_MAX * (model.trouble == TROUBLE_KEEPERS ? 2 : 1);
+        FLOWS_PER_S_MAX * (model.fault == FAULT_KEEPERS ? 2 : 1);
 
     model.messages += 2;
     return recent_flows(upstream) < flows_max;
 }
 
-/* Whether the algorithm lets a node send a new flow to an upstream. */
+/* True if the algorithm lets a node send a new flow to an upstream. */
 static bool
 may_send(unsigned n, unsigned upstream)
 {
     if (!is_warming(upstream)) {
         return true;
     }
-    switch (model.way) {
-    case WAY_WEIGHT:
+    switch (model.policy) {
+    case POLICY_WEIGHT:
         return true;
-    case WAY_SLOTS:
+    case POLICY_SLOTS:
         return has_slot(n, upstream);
-    case WAY_GRANTS:
+    case POLICY_GRANTS:
         return true; /* granted after the choice */
-    case WAY_OWNERS:
-    case WAY_WAIT:
+    case POLICY_OWNERS:
+    case POLICY_WAIT:
         return (model.sent_at[n][upstream] == 0 ||
                 model.now >=
                     model.sent_at[n][upstream] + WARMUP_FLOW_INTERVAL_MS) &&
                warmup_is_owner(&model.views[n], FLOWS_PER_S_MAX / WARMUP_VIEWS,
                                upstream + 1);
-    case WAY_COUNT:
+    case POLICY_COUNT:
         break;
     }
     return false;
@@ -207,9 +207,10 @@
 static unsigned
 choose(unsigned n)
 {
-    unsigned u = least_loaded(n, model.way == WAY_WAIT && !model.all_warming);
+    unsigned u =
+        least_loaded(n, model.policy == POLICY_WAIT && !model.all_warming);
 
-    if (model.way == WAY_GRANTS && u != UPSTREAMS_MAX && is_warming(u) &&
+    if (model.policy == POLICY_GRANTS && u != UPSTREAMS_MAX && is_warming(u) &&
         !is_granted(u)) {
         return model.all_warming ? UPSTREAMS_MAX : least_loaded(n, true);
     }
@@ -278,7 +279,7 @@
 
 /* Runs one model with one seed. */
 static struct result
-run_model(unsigned nodes, bool all, enum way way, enum trouble trouble,
+run_model(unsigned nodes, bool all, enum policy policy, enum fault fault,
           uint64_t seed)
 {
     struct result out;
@@ -287,8 +288,8 @@
     model.nodes = nodes;
     model.upstreams = nodes * 2 > UPSTREAMS_MAX ? UPSTREAMS_MAX : nodes * 2;
     model.all_warming = all;
-    model.way = way;
-    model.trouble = trouble;
+    model.policy = policy;
+    model.fault = fault;
     model.random = seed;
     make_views();
     for (unsigned u = 0; u < model.upstreams; u++) {
@@ -316,14 +317,14 @@
 
 /* Runs all seeds and prints a row: the worst rate, means of the rest. */
 static void
-print_row(unsigned nodes, bool all, enum way way, enum trouble trouble,
+print_row(unsigned nodes, bool all, enum policy policy, enum fault fault,
           int seeds)
 {
     struct result sum = {0};
 
     for (int seed = 1; seed <= seeds; seed++) {
         struct result one =
-            run_model(nodes, all, way, trouble, (uint64_t)seed);
+            run_model(nodes, all, policy, fault, (uint64_t)seed);
 
         sum.worst = MAX(sum.worst, one.worst);
         sum.served += one.served / seeds;
@@ -332,8 +333,8 @@
         sum.messages += one.messages / seeds;
     }
     (void)printf("%-7s %5u %-5s %-7s %6u%s %8.2f %8.1f %8.2f %8.2f\n",
-                 way_names[way], nodes, all ? "all" : "third",
-                 trouble_names[trouble], sum.worst,
+                 policy_names[policy], nodes, all ? "all" : "third",
+                 fault_names[fault], sum.worst,
                  sum.worst > FLOWS_PER_S_MAX ? "!" : " ", sum.served,
                  sum.refused, sum.spread, sum.messages);
 }
@@ -345,14 +346,14 @@
     int seeds = argc > 1 ? atoi(argv[1]) : 3;
 
     (void)printf(
-        "way     nodes cold  wrong   most/s  served/s refused%%   spread "
+        "policy  nodes share fault   most/s  served/s refused%%   spread "
         "messages\n");
     for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
         for (int all = 0; all < 2; all++) {
-            for (int way = 0; way < WAY_COUNT; way++) {
-                for (int trouble = 0; trouble < TROUBLE_COUNT; trouble++) {
-                    print_row(sizes[i], all, (enum way)way,
-                              (enum trouble)trouble, seeds);
+            for (int policy = 0; policy < POLICY_COUNT; policy++) {
+                for (int fault = 0; fault < FAULT_COUNT; fault++) {
+                    print_row(sizes[i], all, (enum policy)policy,
+                              (enum fault)fault, seeds);
                 }
             }
         }
--- a/tools/soak/http.c
+++ b/tools/soak/http.c
@@ -46,12 +46,12 @@
     uint64_t drained_at;  /* acknowledgement, 0: not drained */
     bool stopping;        /* ends the threads */
     GMutex lock; /* of acked, puts, put_at, keep_drained, drained_at */
-} ask;
+} client;
 
 static uint32_t
 node_address(int n)
 {
-    return ask.first_node + (uint32_t)n;
+    return client.first_node + (uint32_t)n;
 }
 
 /* Rendezvous hashing over ready nodes; any node when none is ready. */
@@ -59,17 +59,17 @@
 soak_http_pick_node(uint32_t hash)
 {
     int ready = 0;
-    int best = (int)(hash % (unsigned)ask.node_count);
+    int best = (int)(hash % (unsigned)client.node_count);
     uint32_t best_rank = 0;
 
-    for (int n = 0; n < ask.node_count; n++) {
+    for (int n = 0; n < client.node_count; n++) {
         uint32_t rank = (hash + (uint32_t)n * 0x9e3779b9U) * 0x85ebca6bU;
 
-        if (ask.node[n].ready && (ready == 0 || rank > best_rank)) {
+        if (client.node[n].ready && (ready == 0 || rank > best_rank)) {
             best = n;
             best_rank = rank;
         }
-        ready += ask.node[n].ready;
+        ready += client.node[n].ready;
     }
     return node_address(best);
 }
@@ -120,19 +120,19 @@
 
 /* Sends an operator's request to a random node, following redirects. */
 static long
-operate(const char *method, const char *path, const char *body,
-        GString *answer)
+send_operator_request(const char *method, const char *path, const char *body,
+                      GString *answer)
 {
     uint32_t node =
-        node_address((int)(g_random_int() % (guint)ask.node_count));
+        node_address((int)(g_random_int() % (guint)client.node_count));
     long status = 0;
 
     for (int hops = 0; hops < REDIRECTS_MAX; hops++) {
         uint32_t redirect = 0;
 
         g_string_truncate(answer, 0);
-        status = soak_http_request(method, node, ask.control_port, path, body,
-                                   answer, &redirect);
+        status = soak_http_request(method, node, client.control_port, path,
+                                   body, answer, &redirect);
         if (status != 307 || redirect == 0) {
             break;
         }
@@ -149,27 +149,29 @@
     uint64_t acked;
     char *body;
 
-    g_mutex_lock(&ask.lock);
-    acked = ask.acked;
-    g_mutex_unlock(&ask.lock);
+    g_mutex_lock(&client.lock);
+    acked = client.acked;
+    g_mutex_unlock(&client.lock);
     if (g_random_int() % 2 == 0) {
-        body = soak_routing_table(ask.last_version =
-                                      MAX(ask.last_version, acked) + 1);
-        if (operate("PUT", STANDIN_TABLE_PATH, body, answer) == 200) {
-            g_mutex_lock(&ask.lock);
-            ask.acked = MAX(ask.acked, ask.last_version);
-            ask.puts++;
-            ask.put_at = loop_now();
-            g_mutex_unlock(&ask.lock);
+        body = soak_routing_table(client.last_version =
+                                      MAX(client.last_version, acked) + 1);
+        if (send_operator_request("PUT", STANDIN_TABLE_PATH, body, answer) ==
+            200) {
+            g_mutex_lock(&client.lock);
+            client.acked = MAX(client.acked, client.last_version);
+            client.puts++;
+            client.put_at = loop_now();
+            g_mutex_unlock(&client.lock);
         }
         g_free(body);
     }
-    else if (operate("GET", STANDIN_TABLE_PATH, NULL, answer) == 200) {
+    else if (send_operator_request("GET", STANDIN_TABLE_PATH, NULL, answer) ==
+             200) {
         unsigned long long read = 0;
 
         (void)sscanf(answer->str, STANDIN_VERSION_FORMAT, &read);
-        ask.reads++;
-        ask.read_at = loop_now();
+        client.reads++;
+        client.read_at = loop_now();
         if (read < acked) {
             soak_violation(
                 "GET returned version %llu after %llu was acknowledged", read,
@@ -182,9 +184,9 @@
 static void
 set_drained_at(uint64_t at)
 {
-    g_mutex_lock(&ask.lock);
-    ask.drained_at = at;
-    g_mutex_unlock(&ask.lock);
+    g_mutex_lock(&client.lock);
+    client.drained_at = at;
+    g_mutex_unlock(&client.lock);
 }
 
 /* Drains a random hall or undrains the drained one. An order without an
@@ -198,30 +200,30 @@
     bool keep_drained;
     bool done;
 
-    g_mutex_lock(&ask.lock);
-    keep_drained = ask.keep_drained;
-    done = ask.drained_at != 0;
-    g_mutex_unlock(&ask.lock);
-    if (!ask.drain_pending) {
-        ask.hall = (int)(g_random_int() % SOAK_HALLS);
-        ask.drain_pending = true;
+    g_mutex_lock(&client.lock);
+    keep_drained = client.keep_drained;
+    done = client.drained_at != 0;
+    g_mutex_unlock(&client.lock);
+    if (!client.drain_pending) {
+        client.hall = (int)(g_random_int() % SOAK_HALLS);
+        client.drain_pending = true;
         done = false;
     }
-    (void)snprintf(name, sizeof(name), SOAK_HALL_FORMAT, ask.hall);
+    (void)snprintf(name, sizeof(name), SOAK_HALL_FORMAT, client.hall);
     (void)snprintf(path, sizeof(path), STANDIN_HALL_PATH, name);
-    if (!done && !ask.undrain_pending) {
-        if (operate("POST", path, NULL, answer) == 200) {
-            ask.hall_orders++;
+    if (!done && !client.undrain_pending) {
+        if (send_operator_request("POST", path, NULL, answer) == 200) {
+            client.hall_orders++;
             set_drained_at(loop_now());
         }
     }
-    else if (ask.undrain_pending || !keep_drained) {
-        ask.undrain_pending = true;
+    else if (client.undrain_pending || !keep_drained) {
+        client.undrain_pending = true;
         set_drained_at(0);
-        if (operate("DELETE", path, NULL, answer) == 200) {
-            ask.hall_orders++;
-            ask.undrain_pending = false;
-            ask.drain_pending = false;
+        if (send_operator_request("DELETE", path, NULL, answer) == 200) {
+            client.hall_orders++;
+            client.undrain_pending = false;
+            client.drain_pending = false;
         }
     }
     g_string_free(answer, TRUE);
@@ -232,18 +234,18 @@
 {
     uint64_t at;
 
-    g_mutex_lock(&ask.lock);
-    at = hall == ask.hall ? ask.drained_at : 0;
-    g_mutex_unlock(&ask.lock);
+    g_mutex_lock(&client.lock);
+    at = hall == client.hall ? client.drained_at : 0;
+    g_mutex_unlock(&client.lock);
     return at;
 }
 
 void
 soak_http_keep_hall_drained(void)
 {
-    g_mutex_lock(&ask.lock);
-    ask.keep_drained = true;
-    g_mutex_unlock(&ask.lock);
+    g_mutex_lock(&client.lock);
+    client.keep_drained = true;
+    g_mutex_unlock(&client.lock);
 }
 
 /* Thread of the operator. */
@@ -251,9 +253,9 @@
 run_operator(gpointer unused)
 {
     (void)unused;
-    while (!ask.stopping) {
+    while (!client.stopping) {
         put_or_get_table();
-        if (ask.keep_drained || g_random_int() % HALL_ORDER_PERIOD == 0) {
+        if (client.keep_drained || g_random_int() % HALL_ORDER_PERIOD == 0) {
             send_hall_order();
         }
         g_usleep(OPERATOR_INTERVAL_MS * 1000);
@@ -266,12 +268,12 @@
 run_fabric(gpointer data)
 {
     int n = GPOINTER_TO_INT(data);
-    struct probed_node *node = &ask.node[n];
+    struct probed_node *node = &client.node[n];
 
-    while (!ask.stopping) {
+    while (!client.stopping) {
         GString *answer = g_string_new(NULL);
         bool ok =
-            soak_http_request("GET", node_address(n), ask.ready_port,
+            soak_http_request("GET", node_address(n), client.ready_port,
                               STANDIN_READY_PATH, NULL, answer, NULL) == 200;
 
         node->failed_probes = ok ? 0 : node->failed_probes + 1;
@@ -288,10 +290,10 @@
 soak_http_start(uint32_t nodes, int node_count, uint16_t ready_port,
                 uint16_t control_port)
 {
-    ask.first_node = nodes;
-    ask.node_count = node_count;
-    ask.ready_port = ready_port;
-    ask.control_port = control_port;
+    client.first_node = nodes;
+    client.node_count = node_count;
+    client.ready_port = ready_port;
+    client.control_port = control_port;
     (void)g_thread_new("operator", run_operator, NULL);
     for (int n = 0; n < node_count; n++) {
         (void)g_thread_new("fabric", run_fabric, GINT_TO_POINTER(n));
@@ -301,7 +303,7 @@
 void
 soak_http_stop(void)
 {
-    ask.stopping = true;
+    client.stopping = true;
 }
 
 /* The operator's thread runs until the end, so that a recent PUT and GET
@@ -309,19 +311,19 @@
 void
 soak_http_check(void)
 {
-    if (loop_now() > ask.read_at + SOAK_STABLE_MS) {
+    if (loop_now() > client.read_at + SOAK_STABLE_MS) {
         soak_violation("at the end: no GET succeeded for %llu ms",
-                       (unsigned long long)(loop_now() - ask.read_at));
+                       (unsigned long long)(loop_now() - client.read_at));
     }
-    if (loop_now() > ask.put_at + SOAK_STABLE_MS) {
+    if (loop_now() > client.put_at + SOAK_STABLE_MS) {
         soak_violation("at the end: no PUT was acknowledged for %llu ms",
-                       (unsigned long long)(loop_now() - ask.put_at));
+                       (unsigned long long)(loop_now() - client.put_at));
     }
-    if (ask.keep_drained && ask.drained_at == 0) {
+    if (client.keep_drained && client.drained_at == 0) {
         soak_violation("at the end: no drain of a hall was acknowledged");
     }
-    for (int n = 0; n < ask.node_count; n++) {
-        if (!ask.node[n].ready) {
+    for (int n = 0; n < client.node_count; n++) {
+        if (!client.node[n].ready) {
             soak_violation("at the end: node %d is not ready", n);
         }
     }
@@ -330,6 +332,6 @@
 void
 soak_http_report(void)
 {
-    printf("%u puts, %u reads, version %llu, %u hall orders, ", ask.puts,
-           ask.reads, (unsigned long long)ask.acked, ask.hall_orders);
+    printf("%u puts, %u reads, version %llu, %u hall orders, ", client.puts,
+           client.reads, (unsigned long long)client.acked, client.hall_orders);
 }
--- a/tools/soak/link.h
+++ b/tools/soak/link.h
@@ -31,7 +31,7 @@
  * their nodes, nor from nodes to hosts. */
 void soak_link_partition_halls(int one, int other, uint64_t until);
 
-/* Whether a node cannot reach a hall now. */
+/* True if a node cannot reach a hall now. */
 bool soak_link_is_partitioned(int n, int hall);
 
 /* Fills fds for poll(2); returns how many. */
--- a/tools/soak/soak.c
+++ b/tools/soak/soak.c
@@ -237,7 +237,7 @@
     soak.faults++;
 }
 
-/* Whether a node's disk may be wiped: all other nodes with disks must be
+/* True if a node's disk may be wiped: all other nodes with disks must be
  * running and stable. */
 static bool
 can_wipe_disk(int n, uint64_t now)
--- a/tools/soak/soak.h
+++ b/tools/soak/soak.h
@@ -18,7 +18,7 @@
     __attribute__((format(printf, 1, 2)));
 /* Opens a nonblocking UDP socket; exits with status 2 on failure. */
 int soak_socket(uint32_t address, uint16_t port);
-/* Whether neither the node nor the cluster had a fault within
+/* True if neither the node nor the cluster had a fault within
  * SOAK_STABLE_MS. */
 bool soak_is_stable(uint32_t node_address);
 
--- a/tools/standin-fabric.c
+++ b/tools/standin-fabric.c
@@ -63,7 +63,7 @@
     (void)fclose(file);
 }
 
-/* Whether an address is an entry's (127.0.1.0/24), listed or not. */
+/* True if an address is an entry's (127.0.1.0/24), listed or not. */
 static bool
 is_entry(uint32_t address)
 {
