--- a/egress.c
+++ b/egress.c
@@ -13,7 +13,7 @@
 #define HEADER_BYTES 28U
 /* Queue limit in time: later the caller has retransmitted or timed out. */
 #define QUEUE_MS 1000U
-/* At least the largest datagram and a few more. */
+/* Room for the largest datagram and a few more. */
 #define LIMIT_MIN_BYTES (128U * 1024U)
 /* Memory bound. */
 #define LIMIT_MAX_BYTES (4U * 1024U * 1024U)
@@ -61,7 +61,7 @@
     g_queue_init(&egress->dropped);
 }
 
-/* The queue is in neither list. */
+/* Requires that the queue is in neither list. */
 static void
 free_queue(struct egress *egress, struct egress_queue *queue)
 {
@@ -113,19 +113,19 @@
 }
 
 static uint64_t
-key_of(const struct egress_head *head)
+key_of(const struct egress_meta *meta)
 {
     if (fault_is(FAULT_NO_FAIR_QUEUEING)) {
         return 0;
     }
-    return head->kind == EGRESS_CALLER ? head->flow : (uint64_t)head->kind;
+    return meta->kind == EGRESS_CALLER ? meta->flow : (uint64_t)meta->kind;
 }
 
 /* Finds or creates the queue of a datagram. */
 static struct egress_queue *
-queue_of(struct egress *egress, const struct egress_head *head)
+queue_of(struct egress *egress, const struct egress_meta *meta)
 {
-    uint64_t key = key_of(head);
+    uint64_t key = key_of(meta);
     struct egress_queue *queue = g_hash_table_lookup(egress->queues, &key);
 
     if (queue != NULL) {
@@ -134,11 +134,11 @@
     queue = g_new0(struct egress_queue, 1);
     queue->key = key;
     queue->quantum =
-        head->kind == EGRESS_BULK ? BULK_QUANTUM_BYTES : QUANTUM_BYTES;
+        meta->kind == EGRESS_BULK ? BULK_QUANTUM_BYTES : QUANTUM_BYTES;
     queue->deficit = queue->quantum;
     g_queue_init(&queue->items);
     (void)g_hash_table_insert(egress->queues, &queue->key, queue);
-    g_queue_push_tail(head->kind == EGRESS_BULK ? &egress->old_queues
+    g_queue_push_tail(meta->kind == EGRESS_BULK ? &egress->old_queues
                                                 : &egress->new_queues,
                       queue);
     return queue;
@@ -150,9 +150,9 @@
 {
     queue->bytes -= item->length;
     egress->bytes -= item->length;
-    if (item->head.content_hash != 0) {
+    if (item->meta.content_hash != 0) {
         (void)g_hash_table_remove(egress->content_hashes,
-                                  &item->head.content_hash);
+                                  &item->meta.content_hash);
     }
 }
 
@@ -177,10 +177,10 @@
 /* Drops the tails of longer queues until the datagram fits; false when its own
  * queue is the longest. */
 static bool
-make_room(struct egress *egress, const struct egress_head *head,
+make_room(struct egress *egress, const struct egress_meta *meta,
           uint64_t length)
 {
-    uint64_t key = key_of(head);
+    uint64_t key = key_of(meta);
 
     while (egress->bytes + length > egress->limit) {
         struct egress_queue *queue = longest_queue(egress);
@@ -199,20 +199,20 @@
 static void
 append(struct egress *egress, struct egress_item *item)
 {
-    struct egress_queue *queue = queue_of(egress, &item->head);
+    struct egress_queue *queue = queue_of(egress, &item->meta);
 
     g_queue_push_tail(&queue->items, item);
     queue->bytes += item->length;
     egress->bytes += item->length;
-    if (item->head.content_hash != 0) {
+    if (item->meta.content_hash != 0) {
         (void)g_hash_table_add(egress->content_hashes,
-                               &item->head.content_hash);
+                               &item->meta.content_hash);
     }
 }
 
 enum egress_result
 egress_enqueue(struct egress *egress, uint64_t now_us,
-               const struct egress_head *head, const uint8_t *first,
+               const struct egress_meta *meta, const uint8_t *first,
                size_t first_length, const uint8_t *second,
                size_t second_length)
 {
@@ -227,15 +227,15 @@
         egress->credit -= cost_of(length);
         return EGRESS_SEND_NOW;
     }
-    if (head->content_hash != 0 && !fault_is(FAULT_NO_DUPLICATE_DROP) &&
-        g_hash_table_contains(egress->content_hashes, &head->content_hash)) {
+    if (meta->content_hash != 0 && !fault_is(FAULT_NO_DUPLICATE_DROP) &&
+        g_hash_table_contains(egress->content_hashes, &meta->content_hash)) {
         return EGRESS_DUPLICATE;
     }
-    if (!make_room(egress, head, length)) {
+    if (!make_room(egress, meta, length)) {
         return EGRESS_QUEUE_FULL;
     }
     item = g_malloc(sizeof(*item) + length);
-    item->head = *head;
+    item->meta = *meta;
     item->enqueued_at_us = now_us;
     item->length = length;
     memcpy(item->bytes, first, first_length);
@@ -258,7 +258,7 @@
 static bool
 is_expired(const struct egress_item *item, uint64_t now_us)
 {
-    return item->head.deadline_us != 0 && now_us > item->head.deadline_us;
+    return item->meta.deadline_us != 0 && now_us > item->meta.deadline_us;
 }
 
 struct egress_item *
--- a/egress.h
+++ b/egress.h
@@ -24,11 +24,11 @@
 const char *egress_kind_name(enum egress_kind kind);
 
 /** Queueing metadata and destination of a datagram. */
-struct egress_head {
+struct egress_meta {
     enum egress_kind kind;
     uint64_t flow;         /**< CALLER: hash of the flow */
     uint64_t content_hash; /**< CALLER: equal for retransmissions of a packet;
-                               0: none */
+                                0: none */
     uint32_t sequence;     /**< CALLER: TCP sequence number */
     uint64_t deadline_us;  /**< dropped when queued past it; 0: none */
     uint32_t address;      /**< host order */
@@ -37,7 +37,7 @@
 
 /** A queued datagram. */
 struct egress_item {
-    struct egress_head head;
+    struct egress_meta meta;
     uint64_t enqueued_at_us; /**< time of egress_enqueue() */
     size_t length;           /**< of `bytes` */
     uint8_t bytes[];
@@ -45,7 +45,7 @@
 
 /** Result of egress_enqueue(). */
 enum egress_result {
-    EGRESS_SEND_NOW,  /**< not queued: the caller sends it now */
+    EGRESS_SEND_NOW,  /**< not queued: to be sent now */
     EGRESS_QUEUED,    /**< egress_dequeue() will return it */
     EGRESS_DUPLICATE, /**< dropped: the same packet is queued already */
     EGRESS_QUEUE_FULL /**< dropped: over the limit, and no queue is longer */
@@ -56,7 +56,7 @@
     uint64_t rate_kbit_s;  /**< shaped rate; 0: unknown, nothing is queued */
     uint64_t limit;        /**< queued bytes at most */
     int64_t credit;        /**< token bucket level, in 1/1000 bit; negative
-                               while the link is busy */
+                                while the link is busy */
     uint64_t credit_at_us; /**< time of the last refill */
     uint64_t bytes;        /**< queued bytes */
     GHashTable *queues;    /**< uint64_t to struct egress_queue, owned */
@@ -78,7 +78,7 @@
  * @param second continues `first`; may be empty
  */
 enum egress_result egress_enqueue(struct egress *egress, uint64_t now_us,
-                                  const struct egress_head *head,
+                                  const struct egress_meta *meta,
                                   const uint8_t *first, size_t first_length,
                                   const uint8_t *second, size_t second_length);
 
--- a/entry-packets.c
+++ b/entry-packets.c
@@ -88,7 +88,7 @@
                                 .service = service,
                                 .first = packet->first,
                                 .closing = packet->closing,
-                                .forwarded = packet->handed,
+                                .forwarded = packet->forwarded,
                                 .position = packet->forwarding.position,
                                 .hops = packet->forwarding.hops};
     const struct flow_upstream *upstream;
--- a/entry-proxy.c
+++ b/entry-proxy.c
@@ -286,7 +286,7 @@
     struct peer_choice *choice = data;
     const struct entry_core *core = choice->entry->core;
     const struct member *peer =
-        member_other(&core->active_members, choice->key, core->self.id);
+        member_find_peer(&core->active_members, choice->key, core->self.id);
 
     if (peer != NULL) {
         choice->address = peer->address;
--- a/evidence-internal.h
+++ b/evidence-internal.h
@@ -94,7 +94,8 @@
 bool evidence_is_lost(const struct evidence *ev, uint64_t now,
                       const struct evidence_flow *flow,
                       const struct upstream *upstream);
-/** Marks a flow as closed; it is freed after late retransmissions. */
+/** Marks a flow as closed; it is freed after a timeout for late
+ * retransmissions. */
 void evidence_expire_flow(struct evidence *ev, uint64_t now,
                           struct evidence_flow *flow);
 
--- a/evidence-liveness.c
+++ b/evidence-liveness.c
@@ -1,35 +1,36 @@
 /*
  * Liveness and response times of upstreams. Answers bypass this node (direct
- * server return), so a failed upstream shows only in what callers acknowledge
- * and retransmit.
+ * server return), so failures are detected from the acknowledgements and
+ * retransmissions of callers.
  */
 #include "evidence-internal.h"
 
 #include "fault.h"
 
-/* Both ends retransmit at intervals of up to 1.6 s. */
+/* A closed flow is freed after this time; both ends retransmit at intervals of
+ * up to 1.6 s. */
 #define CLOSED_TIMEOUT_MS 2000U
 /* Callers retransmit after 200 ms or more; copies at shorter intervals were
  * delayed in the network. */
 #define RETRANSMIT_MIN_MS 150U
 /* A single timeout may result from a link failure or a full queue here. */
 #define LOST_TIMEOUTS 2
-/* Packets and records that arrived during a start or a stall are processed
- * within this time. */
+/* Pause of the failure detection after a start or a stall, until the packets
+ * and records that arrived meanwhile are processed. */
 #define DETECTION_PAUSE_MS 1000U
 /* Minimum interval between suspicion reports about an upstream. */
 #define REPORT_INTERVAL_MS 200U
 /* Minimum interval between alive reports about an upstream; each counts for 1
  * s. */
 #define ALIVE_REPORT_INTERVAL_MS 500U
-/* An upstream that answered here within this time is not lost for this node.
- */
+/* An upstream that answered here within this time is not lost for this
+ * node. */
 #define LOST_ALIVE_TIMEOUT_MS 2000U
 /* Answers and suspicions within this time count in the check of this node's
  * own link. */
 #define OWN_LINK_WINDOW_MS 1000U
-/* A node that misses answers from more than one in this many of the upstreams
- * in use suspects its own link. */
+/* A node suspects its own link when more than one in this many of the
+ * upstreams in use do not answer it. */
 #define SUSPECTED_SHARE 4U
 
 /* Weight of a new sample in the response time (EWMA): 1/4. */
--- a/evidence-reach.c
+++ b/evidence-reach.c
@@ -20,8 +20,8 @@
 #define AVOID_MS 500U
 /* Upper bound of a probe's round trip, with queueing. */
 #define PROBE_TIMEOUT_MS 50U
-/* Before probe replies are due, a hall with an answer this recent may relay.
- */
+/* Before probe replies are due, a hall with an answer this recent may
+ * relay. */
 #define RECENT_ANSWER_MS 500U
 /* A suspicion ends after this time without any answer, so that the hall is
  * tried again. */
@@ -62,8 +62,8 @@
     get_hall(ev, upstream->hall_hash)->upstream_answered_at = now;
 }
 
-/* A flow opened by a packet sent before the suspicion proves nothing about it.
- */
+/* A flow opened by a packet sent before the suspicion proves nothing about
+ * it. */
 void
 evidence_reach_note_open(struct evidence *ev, uint64_t now,
                          const struct upstream *upstream, uint64_t sent_at)
@@ -135,16 +135,16 @@
 evidence_may_relay(const struct evidence *ev, uint64_t now, uint32_t hall,
                    uint32_t relay)
 {
-    const struct evidence_hall *from = find_hall(ev, hall);
-    const struct evidence_hall *to = find_hall(ev, relay);
+    const struct evidence_hall *suspected = find_hall(ev, hall);
+    const struct evidence_hall *via = find_hall(ev, relay);
 
-    if (from == NULL || to == NULL || hall == relay ||
-        now < to->suspected_until) {
+    if (suspected == NULL || via == NULL || hall == relay ||
+        now < via->suspected_until) {
         return false;
     }
-    return (to->node_replied_at != 0 &&
-            to->node_replied_at >= from->suspected_at) ||
-           (now < from->suspected_at + PROBE_TIMEOUT_MS &&
-            to->upstream_answered_at != 0 &&
-            now <= to->upstream_answered_at + RECENT_ANSWER_MS);
+    return (via->node_replied_at != 0 &&
+            via->node_replied_at >= suspected->suspected_at) ||
+           (now < suspected->suspected_at + PROBE_TIMEOUT_MS &&
+            via->upstream_answered_at != 0 &&
+            now <= via->upstream_answered_at + RECENT_ANSWER_MS);
 }
--- a/evidence-verify.h
+++ b/evidence-verify.h
@@ -16,8 +16,8 @@
     EVIDENCE_PROVED,      /**< same result */
     EVIDENCE_DISPROVED,   /**< different result */
     EVIDENCE_OTHER_TABLE, /**< not verified: the table has changed since */
-    EVIDENCE_OTHER_HALLS, /**< not verified: drained halls have changed since
-                           */
+    EVIDENCE_OTHER_HALLS, /**< not verified: drained halls have changed
+                               since */
     EVIDENCE_NO_PROOF     /**< the rule has nothing to recompute */
 };
 
--- a/evidence.c
+++ b/evidence.c
@@ -11,8 +11,8 @@
 #include "hash.h"
 
 #define SWEEP_INTERVAL_MS 1000U
-/* Callers retransmit a first packet after 200 and 600 ms and give up after 1.4
- * s. */
+/* An upstream that left a first packet unanswered is suspected for this long;
+ * callers retransmit after 200 and 600 ms and give up after 1.4 s. */
 #define SUSPICION_TIMEOUT_MS 1500U
 /* Callers retransmit after 200 ms or more; copies at shorter intervals were
  * delayed in the network. */
@@ -24,12 +24,12 @@
 
 void
 evidence_open(struct evidence *ev, struct upstream_set *upstreams,
-              struct counters *counters, uint64_t flow_max_ms)
+              struct counters *counters, uint64_t idle_timeout_ms)
 {
     memset(ev, 0, sizeof(*ev));
     ev->upstreams = upstreams;
     ev->counters = counters;
-    ev->flow_max_ms = flow_max_ms;
+    ev->idle_timeout_ms = idle_timeout_ms;
     ev->table = route_new();
     ev->overshoot_milli = MILLI;
     ev->nodes.self = upstreams->self;
@@ -194,10 +194,10 @@
     verdict->upstream = upstream;
 }
 
-/* Whether a retransmitted first packet goes to the same upstream. Another one
- * is tried only while the first has not answered: if both accepted the flow,
- * packets could reach the wrong one. Suspects an upstream that left the
- * previous copy unanswered. */
+/* Whether a retransmitted first packet goes to the same upstream; also
+ * suspects an upstream that left the previous copy unanswered. Another
+ * upstream is tried only while the first has not answered: if both accepted
+ * the flow, packets could reach the wrong one. */
 static bool
 keeps_upstream(struct evidence *ev, uint64_t now,
                const struct evidence_flow *flow,
@@ -223,8 +223,8 @@
            now <= upstream->last_progress_at + ALIVE_TIMEOUT_MS;
 }
 
-/* Opens a flow at the chosen upstream; `flow` is NULL when it has no record.
- */
+/* Opens a flow at the chosen upstream; `flow` is NULL when it has no
+ * record. */
 static void
 open_flow(struct evidence *ev, uint64_t now, struct evidence_flow *flow,
           struct upstream *upstream, struct evidence_verdict *verdict)
@@ -417,7 +417,7 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         struct evidence_flow *flow = value;
         uint64_t idle_ms =
-            ev->table->idle_ms ? ev->table->idle_ms : ev->flow_max_ms;
+            ev->table->idle_ms ? ev->table->idle_ms : ev->idle_timeout_ms;
 
         if ((flow->expire_at != 0 && now >= flow->expire_at) ||
             now > flow->last_seen_at + idle_ms) {
--- a/evidence.h
+++ b/evidence.h
@@ -25,8 +25,9 @@
     uint16_t source_port;      /**< port of the caller */
     uint16_t destination_port; /**< port of the route */
     uint32_t token;            /**< names the upstream; 0: none */
-    uint32_t acknowledged;     /**< acknowledged bytes of the upstream; in a
-                                    first packet: earlier copies of it */
+    uint32_t acknowledged;     /**< bytes of the upstream that the caller
+                                    acknowledged; in a first packet: number of
+                                    earlier transmissions */
     uint32_t sequence;         /**< of the first byte of data */
     uint32_t length;           /**< bytes of data */
     bool first;                /**< opens the flow */
@@ -96,8 +97,8 @@
                                           response time, 0: unknown */
     uint64_t sweep_at;               /**< deadline of the next sweep for
                                           expired flows */
-    uint64_t flow_max_ms;            /**< idle timeout of a flow when the table
-                                          sets none */
+    uint64_t idle_timeout_ms;        /**< of a flow, when the table sets
+                                          none */
     uint64_t detection_paused_until; /**< deadline: missing answers are ignored
                                           until then */
     uint64_t answered_sent_at;       /**< latest send time among answered data,
@@ -106,23 +107,22 @@
                                           upstreams are chosen */
     bool bounded;                    /**< a service limits the new flows of
                                           warming upstreams */
-    uint64_t overshoot_milli;        /**< permitted excess over that limit, in
-                                          thousandths of it */
-    uint64_t slack_milli;            /**< additional excess, in thousandths of
-                                          a new flow per second */
-    uint32_t rank;                   /**< rank of this node among all nodes, as
-                                          a fraction in units of 2^-32: offset
-                                          at which ties are broken */
+    uint64_t overshoot_milli;        /**< factor on that limit, in 1/1000 */
+    uint64_t slack_milli;            /**< added to that limit, in 1/1000
+                                          flow/s */
+    uint32_t rank;                   /**< rank of this node among all nodes, in
+                                          units of 2^-32; rotates the order in
+                                          which ties are broken */
     bool settled;                    /**< the inventory was synchronized with
                                           another node */
 };
 
-/** Initializes without a table. `flow_max_ms`: idle timeout of a flow, in ms,
- * for tables that set none. */
+/** Initializes without a table. `idle_timeout_ms`: of flows, for tables that
+ * set none. */
 void evidence_open(struct evidence *ev, struct upstream_set *upstreams,
-                   struct counters *counters, uint64_t flow_max_ms);
+                   struct counters *counters, uint64_t idle_timeout_ms);
 
-/** Releases everything that evidence_open() allocated, and the table. */
+/** Frees the state and the table. */
 void evidence_close(struct evidence *ev);
 
 /**
--- a/fleet-deliver.c
+++ b/fleet-deliver.c
@@ -15,16 +15,16 @@
  * Receivers detect duplicates by sequence number. */
 #define RELAY_RESEND_MS 70U
 /* Transmissions to one relay before failover to the next. */
-#define RELAY_TRIES_MAX 3U
+#define RELAY_ATTEMPTS_MAX 3U
 /* Relays tried per message. */
 #define RELAYS_MAX 4U
 /* Transmissions to a node that does not relay. */
-#define NODE_TRIES_MAX 4U
+#define NODE_ATTEMPTS_MAX 4U
 /* By then, anti-entropy comparisons have repaired the difference. Own changes
  * are requeued instead. */
 #define DELIVERY_TIMEOUT_MS 2000U
-/* A node with an incomplete member list is not used as a relay for this long.
- */
+/* A node with an incomplete member list is not used as a relay for this
+ * long. */
 #define RELAY_NOT_READY_MS 300U
 /* A node without acknowledgement is skipped for this long. */
 #define UNRESPONSIVE_MS 2000U
@@ -191,17 +191,17 @@
 static bool
 try_next_relay(struct fleet *fleet, uint64_t now, struct fleet_delivery *d)
 {
-    uint32_t to = d->relays_tried + 1 < RELAYS_MAX
+    uint32_t to = d->failed_relays + 1 < RELAYS_MAX
                       ? fleet_choose_relay(fleet, now, &d->range, d->reach)
                       : 0;
 
     if (to == 0 || to == fleet->self.address) {
         return false;
     }
-    fleet->relay.unsent += d->tries > 0;
+    fleet->relay.unsent += d->attempts > 0;
     d->to = to;
-    d->tries = 0;
-    d->relays_tried++;
+    d->attempts = 0;
+    d->failed_relays++;
     d->send_at = now;
     return true;
 }
@@ -211,7 +211,7 @@
 static void
 give_up(struct fleet *fleet, uint64_t now, const struct fleet_delivery *d)
 {
-    fleet->relay.unsent -= d->tries == 0;
+    fleet->relay.unsent -= d->attempts == 0;
     if (d->reach == WIRE_REACH_FLEET) {
         fleet_relay_requeue(fleet, now, d->batch->ids, d->batch->count);
     }
@@ -249,8 +249,8 @@
     fleet_add_action(fleet, FLEET_UNRESPONSIVE)->to = d->to;
 }
 
-/* Sends a delivery once, sets its retransmission timer and updates the pacing.
- */
+/* Sends a delivery once, sets its retransmission timer and updates the
+ * pacing. */
 static void
 send_once(struct fleet *fleet, uint64_t now, struct fleet_delivery *d)
 {
@@ -258,10 +258,10 @@
     GByteArray *bytes = encode_cached(fleet, now, d);
 
     fleet_send_encoded(fleet, d->to, bytes);
-    relay->unsent -= d->tries == 0;
-    d->send_at = d->reach == WIRE_REACH_NODE ? now + (RESEND_MS << d->tries)
+    relay->unsent -= d->attempts == 0;
+    d->send_at = d->reach == WIRE_REACH_NODE ? now + (RESEND_MS << d->attempts)
                                              : now + RELAY_RESEND_MS;
-    d->tries++;
+    d->attempts++;
     if (fault_is(FAULT_NO_RESEND)) {
         d->send_at = d->expires_at;
     }
@@ -283,7 +283,7 @@
     if (now >= d->expires_at) {
         return false;
     }
-    if (d->tries >= (to_relay ? RELAY_TRIES_MAX : NODE_TRIES_MAX)) {
+    if (d->attempts >= (to_relay ? RELAY_ATTEMPTS_MAX : NODE_ATTEMPTS_MAX)) {
         mark_unresponsive(fleet, now, d);
     }
     if (!is_unresponsive(fleet, now, d)) {
--- a/fleet-internal.h
+++ b/fleet-internal.h
@@ -37,7 +37,7 @@
 /** Sends queued transfers within the rate limit. */
 void fleet_transfer_send(struct fleet *fleet, uint64_t now);
 /** Charges bytes sent outside the queue to the rate limit. */
-void fleet_count_bulk(struct fleet *fleet, uint64_t now, uint64_t bytes);
+void fleet_charge_bulk(struct fleet *fleet, uint64_t now, uint64_t bytes);
 /** LEADER: queues the table for all members with an older one. */
 void fleet_push_table(struct fleet *fleet, uint64_t now);
 /** Requests the table from the sender of a hello when its version is newer
@@ -116,7 +116,7 @@
 void fleet_send_encoded(struct fleet *fleet, uint32_t to, GByteArray *bytes);
 /** Records a suspicion in the upstream set. */
 void fleet_handle_suspicion(struct fleet *fleet, uint64_t now,
-                            const wire_doubt *doubt);
+                            const wire_doubt *report);
 /** LEADER: sends the drained halls to all members. */
 void fleet_push_halls(struct fleet *fleet);
 void fleet_send_hello(struct fleet *fleet, uint32_t to, bool reply);
--- a/fleet-inventory.c
+++ b/fleet-inventory.c
@@ -112,8 +112,8 @@
 }
 
 /* Sends records when the receiver's bucket is empty or the inventory is small,
- * else digests. Starts at a random bucket and stops at the limit of one sync.
- */
+ * else digests. Starts at a random bucket and stops at the limit of one
+ * sync. */
 void
 fleet_send_differences(struct fleet *fleet, uint64_t now, uint32_t to,
                        const uint32_t theirs[WIRE_BUCKETS])
@@ -218,7 +218,7 @@
         }
     }
     fleet_send_upstreams(fleet, need->node, records, count);
-    fleet_count_bulk(fleet, now, fleet->bytes_sent - before);
+    fleet_charge_bulk(fleet, now, fleet->bytes_sent - before);
     g_free(records);
 }
 
@@ -306,8 +306,8 @@
     close_collected(&out);
 }
 
-/* Collects the records of a bucket that are missing or different in `theirs`.
- */
+/* Collects the records of a bucket that are missing or different in
+ * `theirs`. */
 static void
 collect_differing(const struct fleet *fleet, uint64_t now,
                   const GPtrArray *list, GHashTable *theirs,
@@ -372,7 +372,7 @@
                              out.record_count);
         send_need(fleet, compare->node, tokens, count);
         close_collected(&out);
-        fleet_count_bulk(fleet, now, fleet->bytes_sent - before);
+        fleet_charge_bulk(fleet, now, fleet->bytes_sent - before);
     }
     g_free(tokens);
 }
--- a/fleet-members.c
+++ b/fleet-members.c
@@ -134,8 +134,8 @@
     }
 }
 
-/* A node owns no upstream before this uptime: after a restart it does not know
- * which flows it sent to upstreams in warmup. */
+/* A node owns no upstream before this uptime: after a restart it has no record
+ * of the flows that it sent to upstreams in warmup. */
 #define OWNER_MIN_UPTIME_MS 1100U
 
 void
--- a/fleet-relay.c
+++ b/fleet-relay.c
@@ -11,7 +11,7 @@
 
 /* Changes within this interval share messages. */
 #define BATCH_INTERVAL_MS 20U
-/* Time between searches for a relay while none is known. */
+/* Retry interval while no relay is available. */
 #define RELAY_RETRY_MS 100U
 /* Longest delay of own changes on a node that is not settled. */
 #define STARTUP_HOLD_MS 1000U
@@ -26,7 +26,7 @@
  * new flows there. */
 #define REPEAT_MS 500U
 /* A new member is sent the changes of this period: its inventory may be older,
- * and earlier broadcasts went to known members only. */
+ * and earlier broadcasts went only to the members listed then. */
 #define RECENT_MS 3000U
 
 void
@@ -70,7 +70,7 @@
 
 /* True when this node sends changes to all others itself. With an incomplete
  * member list a large fleet looks small, and changes would reach only the
- * known members. */
+ * listed members. */
 static bool
 sends_to_all(const struct fleet *fleet)
 {
@@ -190,8 +190,8 @@
     schedule_flush(fleet, now);
 }
 
-/* Queues a change for a range and, with WIRE_REACH_FLEET, for the other halls.
- */
+/* Queues a change for a range and, with WIRE_REACH_FLEET, for the other
+ * halls. */
 static void
 enqueue(struct fleet *fleet, uint64_t now, wire_reach reach,
         const struct fleet_range *range, uint64_t id)
@@ -311,8 +311,8 @@
 }
 
 /* Sends changes to each node of a range or, beyond the fanout, to one relay
- * per subrange. The subranges leave no gaps, so that a node unknown here is
- * reached by a relay that knows it. */
+ * per subrange. The subranges leave no gaps, so that a node missing from the
+ * member list here is reached by a relay that has it. */
 static void
 send_to_range(struct fleet *fleet, uint64_t now,
               const struct fleet_range *range, const uint64_t *ids,
--- a/fleet-resolve.c
+++ b/fleet-resolve.c
@@ -12,7 +12,7 @@
 /* Time until a request is repeated, to another random node. */
 #define RETRY_MS 100U
 /* Requests per lookup. */
-#define TRIES_MAX 4U
+#define ATTEMPTS_MAX 4U
 /* Lookups at the same time. */
 #define LOOKUPS_MAX 256U
 
@@ -39,8 +39,8 @@
     }
 }
 
-/* A random node with a disk, preferably in this data hall, else a random seed.
- */
+/* A random node with a disk, preferably in this data hall, else a random
+ * seed. */
 static uint32_t
 choose_node(struct fleet *fleet)
 {
@@ -97,12 +97,12 @@
         if (now < lookup->send_at) {
             continue;
         }
-        if (lookup->tries == TRIES_MAX ||
+        if (lookup->attempts == ATTEMPTS_MAX ||
             upstream_by_token(fleet->upstreams, lookup->token) != NULL) {
             g_array_remove_index_fast(all, i - 1);
             continue;
         }
-        lookup->tries++;
+        lookup->attempts++;
         lookup->send_at = now + RETRY_MS;
         g_array_append_val(tokens, lookup->token);
     }
--- a/fleet-saved.c
+++ b/fleet-saved.c
@@ -1,7 +1,7 @@
 /*
  * Upstreams and node addresses saved by a node with a disk and restored after
- * a power loss on all nodes. Nodes without a disk then know only their seeds,
- * so the saved nodes are sent hellos.
+ * a power loss on all nodes. Nodes without a disk then have no contacts but
+ * their seeds, so this node sends hellos to the saved nodes.
  */
 #include "fleet-internal.h"
 
@@ -86,7 +86,7 @@
 bool
 fleet_load(struct fleet *fleet, uint64_t now, const GByteArray *bytes)
 {
-    bool is_taken = true;
+    bool loaded = true;
     wire_msg msg;
 
     if (!codec_decode(bytes->data, bytes->len, &msg)) {
@@ -99,10 +99,10 @@
         load_old_format(fleet, now, &msg.wire_msg_u.kept_unborn);
     }
     else {
-        is_taken = false;
+        loaded = false;
     }
     codec_free(&msg);
-    return is_taken;
+    return loaded;
 }
 
 void
--- a/fleet-send.c
+++ b/fleet-send.c
@@ -184,14 +184,15 @@
 
 void
 fleet_handle_suspicion(struct fleet *fleet, uint64_t now,
-                       const wire_doubt *doubt)
+                       const wire_doubt *report)
 {
-    if (doubt->too_soon) {
-        upstream_report_outlier(fleet->upstreams, now, doubt->id, doubt->node);
+    if (report->too_soon) {
+        upstream_report_outlier(fleet->upstreams, now, report->id,
+                                report->node);
     }
     else {
-        upstream_report_suspicion(fleet->upstreams, now, doubt->id,
-                                  doubt->node, doubt->quiet_ms);
+        upstream_report_suspicion(fleet->upstreams, now, report->id,
+                                  report->node, report->quiet_ms);
     }
 }
 
@@ -202,43 +203,43 @@
     struct upstream_set *set = fleet->upstreams;
 
     for (guint i = 0; i < set->suspicions->len; i++) {
-        const struct upstream_suspicion *doubt =
+        const struct upstream_suspicion *report =
             &g_array_index(set->suspicions, struct upstream_suspicion, i);
-        const struct upstream *u = upstream_by_id(set, doubt->id);
+        const struct upstream *u = upstream_by_id(set, report->id);
         wire_msg msg = {.kind = WIRE_DOUBT};
 
         if (u == NULL) {
             continue;
         }
         msg.wire_msg_u.doubt.node = fleet->self.address;
-        msg.wire_msg_u.doubt.id = doubt->id;
-        msg.wire_msg_u.doubt.quiet_ms = doubt->quiet_ms;
-        msg.wire_msg_u.doubt.too_soon = doubt->outlier;
+        msg.wire_msg_u.doubt.id = report->id;
+        msg.wire_msg_u.doubt.quiet_ms = report->quiet_ms;
+        msg.wire_msg_u.doubt.too_soon = report->outlier;
         fleet_send(fleet, u->keeper, &msg);
         fleet_handle_suspicion(fleet, now, &msg.wire_msg_u.doubt);
     }
     g_array_set_size(set->suspicions, 0);
 }
 
-/* Requests records that may be out of date from two random members and the
- * leader. */
+/* Queries two random members and the leader for records that may be out of
+ * date. */
 static void
-request_unsure(struct fleet *fleet)
+send_queries(struct fleet *fleet)
 {
-    GArray *unsure = fleet->upstreams->queries;
+    GArray *queries = fleet->upstreams->queries;
     wire_msg msg = {.kind = WIRE_NEED};
     wire_need *need = &msg.wire_msg_u.need;
 
-    if (unsure->len == 0) {
+    if (queries->len == 0) {
         return;
     }
     need->node = fleet->self.address;
-    need->tokens.tokens_val = (u_int *)(void *)unsure->data;
-    need->tokens.tokens_len = MIN(unsure->len, WIRE_MARKS_MAX);
+    need->tokens.tokens_val = (u_int *)(void *)queries->data;
+    need->tokens.tokens_len = MIN(queries->len, WIRE_MARKS_MAX);
     fleet_send(fleet, fleet_random_member(fleet), &msg);
     fleet_send(fleet, fleet_random_member(fleet), &msg);
     fleet_send(fleet, fleet->leader, &msg);
-    g_array_set_size(unsure, 0);
+    g_array_set_size(queries, 0);
 }
 
 void
@@ -247,7 +248,7 @@
     GArray *changed = fleet->upstreams->changed;
 
     send_suspicions(fleet, now);
-    request_unsure(fleet);
+    send_queries(fleet);
     fleet_resolve_send(fleet, now);
     for (guint i = 0; i < changed->len; i++) {
         fleet_relay_add_change(fleet, now,
--- a/fleet-transfer.c
+++ b/fleet-transfer.c
@@ -50,7 +50,7 @@
         const struct fleet_member *member = value;
 
         if (member->node.identity == 0 &&
-            member->routes < fleet->routes.bundle_version) {
+            member->table_version < fleet->routes.bundle_version) {
             fleet_transfer_enqueue(fleet, member->node.address,
                                    FLEET_TRANSFER_TABLE, false);
         }
@@ -63,7 +63,7 @@
 {
     wire_msg msg = {.kind = WIRE_TABLE, .wire_msg_u.table = fleet->routes};
 
-    if (member->routes < fleet->routes.bundle_version) {
+    if (member->table_version < fleet->routes.bundle_version) {
         fleet_send(fleet, member->node.address, &msg);
     }
 }
@@ -85,7 +85,8 @@
         fleet_send_members(fleet, transfer->to);
     }
     if (transfer->items & FLEET_TRANSFER_UPSTREAMS) {
-        fleet_send_differences(fleet, now, transfer->to, member->upstreams);
+        fleet_send_differences(fleet, now, transfer->to,
+                               member->bucket_digests);
     }
 }
 
@@ -142,13 +143,13 @@
         uint64_t before = fleet->bytes_sent;
 
         send_transfer(fleet, now, &transfer);
-        fleet_count_bulk(fleet, now, fleet->bytes_sent - before);
+        fleet_charge_bulk(fleet, now, fleet->bytes_sent - before);
     }
 }
 
 /* Delays the next transfer by the link time of `bytes`. */
 void
-fleet_count_bulk(struct fleet *fleet, uint64_t now, uint64_t bytes)
+fleet_charge_bulk(struct fleet *fleet, uint64_t now, uint64_t bytes)
 {
     if (fleet->bulk_bytes_per_ms == 0 || fault_is(FAULT_NO_TRANSFER_PACING)) {
         return;
@@ -169,11 +170,11 @@
     if (!fleet->settled || hello->routes <= fleet->routes.bundle_version) {
         return;
     }
-    if (fleet->highest_seen_routes <= fleet->routes.bundle_version) {
+    if (fleet->highest_seen_version <= fleet->routes.bundle_version) {
         fleet->request_table_at = now + FLEET_TABLE_WAIT_MS;
     }
-    fleet->highest_seen_routes =
-        MAX(fleet->highest_seen_routes, hello->routes);
+    fleet->highest_seen_version =
+        MAX(fleet->highest_seen_version, hello->routes);
     if (now < fleet->request_table_at) {
         return;
     }
--- a/fleet.c
+++ b/fleet.c
@@ -197,7 +197,7 @@
 
     g_hash_table_iter_init(&iter, fleet->members);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        count += ((struct fleet_member *)value)->halls >= revision;
+        count += ((struct fleet_member *)value)->halls_revision >= revision;
     }
     return count;
 }
@@ -233,7 +233,7 @@
  * seeds, unless a leader has existed: a founder that lost its disk would
  * bootstrap a second quorum under its old identity. */
 static bool
-chooses_founder(const struct fleet *fleet)
+may_choose_founder(const struct fleet *fleet)
 {
     if (fleet->bootstrapped && !fault_is(FAULT_BOOTSTRAP_AGAIN)) {
         return false;
@@ -297,7 +297,7 @@
     if (no_leader) {
         fleet->leader = 0;
         discover_leader(fleet);
-        if (chooses_founder(fleet) &&
+        if (may_choose_founder(fleet) &&
             now >= fleet->started_at + FLEET_BOOTSTRAP_DELAY_MS) {
             choose_founder(fleet);
         }
@@ -404,9 +404,10 @@
 static void
 record_hello(struct fleet_member *member, const wire_hello *hello)
 {
-    member->routes = hello->routes;
-    member->halls = hello->halls != NULL ? hello->halls->revision : 0;
-    memcpy(member->upstreams, hello->upstreams, sizeof(member->upstreams));
+    member->table_version = hello->routes;
+    member->halls_revision = hello->halls != NULL ? hello->halls->revision : 0;
+    memcpy(member->bucket_digests, hello->upstreams,
+           sizeof(member->bucket_digests));
 }
 
 static void
@@ -479,7 +480,7 @@
             fleet->sync_requested_at + FLEET_SYNC_TIMEOUT_MS);
 }
 
-/* The other kinds are for other roles. */
+/* Ignores the message kinds of other roles. */
 void
 fleet_receive(struct fleet *fleet, uint64_t now, const wire_msg *msg)
 {
--- a/fleet.h
+++ b/fleet.h
@@ -1,11 +1,10 @@
 /**
  * @file fleet.h
- * Cluster membership and state exchange between nodes: hellos to the leader
- * and to random peers, anti-entropy comparison of upstream inventories,
- * dissemination of upstream changes through a relay per data hall, and
- * paced transfers of routing tables, inventories and member lists. Owns the
- * member list and the packed routing table; borrows the upstream set and
- * changes it only through upstream.h. Does no I/O.
+ * Cluster membership and state exchange between nodes: hellos, anti-entropy
+ * of upstream inventories, broadcast of upstream changes through a relay per
+ * data hall, and rate-limited transfers of routing tables, inventories and
+ * member lists. Owns the member list and the packed routing table; borrows the
+ * upstream set and changes it only through upstream.h. Does no I/O.
  */
 #ifndef RIDGERIDGE_FLEET_H
 #define RIDGERIDGE_FLEET_H
@@ -36,10 +35,11 @@
 #define FLEET_SYNC_TIMEOUT_MS                                                 \
     500U /**< longest wait for further records after a sync request */
 #define FLEET_SYNC_ANY_NODE_MS                                                \
-    50U /**< from the first hello until nodes without a disk are asked too */
+    50U /**< from the first hello until nodes without a disk are sent sync    \
+             requests too */
 #define FLEET_SYNC_OTHER_HALL_MS                                              \
-    600U /**< without an offer from this hall, nodes of other halls are asked \
-              after this long */
+    600U /**< without an offer from this hall, sync requests go to other      \
+              halls after this long */
 #define FLEET_PUSH_INTERVAL_MS 250U /**< between pushes of the table */
 #define FLEET_TABLE_WAIT_MS                                                   \
     300U /**< wait for the leader's push before requesting a newer table */
@@ -88,9 +88,9 @@
 
 /** A lookup of an upstream that a packet names but the inventory lacks. */
 struct fleet_lookup {
-    uint32_t token;   /**< of the upstream */
-    unsigned tries;   /**< requests sent */
-    uint64_t send_at; /**< deadline: next request */
+    uint32_t token;    /**< of the upstream */
+    unsigned attempts; /**< requests sent */
+    uint64_t send_at;  /**< deadline: next request */
 };
 
 /** The nodes of a data hall in a range of addresses. */
@@ -127,8 +127,8 @@
     uint32_t to;               /**< address of the receiver */
     wire_reach reach;          /**< how far the receiver relays them */
     struct fleet_range range;  /**< to which nodes the receiver relays them */
-    unsigned tries;            /**< transmissions to `to` */
-    unsigned relays_tried;     /**< unresponsive relays before `to` */
+    unsigned attempts;         /**< transmissions to `to` */
+    unsigned failed_relays;    /**< unresponsive relays before `to` */
     uint64_t send_at;          /**< deadline: next transmission */
     uint64_t expires_at;       /**< deadline: given up */
 };
@@ -153,12 +153,13 @@
 
 /** Another node. */
 struct fleet_member {
-    wire_node node;        /**< as reported by it or by the leader */
-    uint64_t last_seen_at; /**< last hello, or last report by the leader */
-    bool members_differ;   /**< its last hello had another member digest */
-    uint64_t routes;       /**< table version in its last hello, 0: none */
-    uint64_t halls;        /**< revision of its drained halls, 0: none */
-    uint32_t upstreams[WIRE_BUCKETS]; /**< bucket digests in its last hello */
+    wire_node node;          /**< as reported by it or by the leader */
+    uint64_t last_seen_at;   /**< last hello, or last report by the leader */
+    bool members_differ;     /**< its last hello had another member digest */
+    uint64_t table_version;  /**< in its last hello, 0: no table */
+    uint64_t halls_revision; /**< of the drained halls in its last hello, 0:
+                                  none */
+    uint32_t bucket_digests[WIRE_BUCKETS]; /**< in its last hello */
     uint64_t unresponsive_until; /**< deadline: no changes are sent to it */
     uint64_t relay_after;        /**< deadline: not used as a relay before */
     uint64_t highest_number; /**< highest sequence number received from it */
@@ -207,13 +208,13 @@
     uint64_t bulk_bytes;             /**< bytes not yet counted in
                                           `transfer_at`, below 1 ms */
     uint32_t bulk_bytes_per_ms;      /**< rate limit, 0: none */
-    uint64_t bytes_sent;             /**< all messages to one receiver */
+    uint64_t bytes_sent;             /**< in all messages, once per receiver */
     struct fleet_relay relay;        /**< queues of changes */
     uint64_t compare_at;             /**< deadline: next comparison */
-    uint64_t differs_since[WIRE_BUCKETS]; /**< since then every hello
-                                               had another digest, 0: the last
-                                               one had the same */
-    uint64_t highest_seen_routes;   /**< highest table version in a hello */
+    uint64_t differs_since[WIRE_BUCKETS]; /**< since when all hellos had
+                                               another digest, 0: the last
+                                               hello had the same */
+    uint64_t highest_seen_version;  /**< highest table version in a hello */
     uint64_t request_table_at;      /**< deadline: request a newer table */
     struct upstream_set *upstreams; /**< borrowed */
     uint64_t random;                /**< state of the generator */
@@ -302,7 +303,7 @@
  * reached. */
 void fleet_probe_hall(struct fleet *fleet, uint64_t now, uint32_t hall);
 
-/** Rank of this node's address among all nodes, as a fraction of 2^32. */
+/** Rank of this node's address among all nodes, in units of 2^-32. */
 uint32_t fleet_rank(const struct fleet *fleet);
 
 /** Encodes the upstreams and member addresses for storage on disk. */
--- a/flow-steer.c
+++ b/flow-steer.c
@@ -95,7 +95,7 @@
 {
     uint64_t key = s->packet->hash + s->packet->hops;
     const struct member *peer =
-        member_other(&s->flow->members, key, s->flow->options.self);
+        member_find_peer(&s->flow->members, key, s->flow->options.self);
 
     if (peer == NULL) {
         drop(s, RULE_NO_LEASE, COUNTER_PACKETS_NO_UPSTREAM);
--- a/hall.c
+++ b/hall.c
@@ -84,15 +84,15 @@
 }
 
 void
-hall_pack(const struct hall_set *set, wire_hall room[HALL_MAX],
+hall_pack(const struct hall_set *set, wire_hall buffer[HALL_MAX],
           wire_halls *out)
 {
     for (size_t i = 0; i < set->count; i++) {
-        room[i] = (wire_hall){.name = (char *)set->all[i].name,
-                              .since = set->all[i].since,
-                              .wall = set->all[i].wall};
+        buffer[i] = (wire_hall){.name = (char *)set->all[i].name,
+                                .since = set->all[i].since,
+                                .wall = set->all[i].wall};
     }
     out->revision = set->revision;
-    out->list.list_val = room;
+    out->list.list_val = buffer;
     out->list.list_len = (u_int)set->count;
 }
--- a/hall.h
+++ b/hall.h
@@ -15,9 +15,7 @@
 #include "generated/wire.h"
 
 #define HALL_NAME_MAX WIRE_NAME_MAX
-#define HALL_MAX                                                              \
-    WIRE_HALLS_MAX /**< drained halls at once: twice those of the largest     \
-                        planned deployment */
+#define HALL_MAX WIRE_HALLS_MAX /**< drained halls at once */
 
 /** An operator's order to drain or undrain a hall. */
 struct hall_order {
@@ -59,9 +57,9 @@
 
 bool hall_is_drained(const struct hall_set *set, const char *name);
 
-/** Fills a set for the wire; its strings are borrowed and `room` holds its
- * halls. */
-void hall_pack(const struct hall_set *set, wire_hall room[HALL_MAX],
+/** Fills `out` for the wire: strings are borrowed from the set, halls from
+ * `buffer`. */
+void hall_pack(const struct hall_set *set, wire_hall buffer[HALL_MAX],
                wire_halls *out);
 
 #endif
--- a/loop.h
+++ b/loop.h
@@ -49,7 +49,8 @@
 /** Queues `work` for the loop's thread. Thread-safe. */
 void loop_post(loop_work work, void *data);
 
-/** Runs `work` on the loop's thread and waits for it. Not for that thread. */
+/** Runs `work` on the loop's thread and waits for it; must not be called on
+ * that thread. */
 void loop_call(loop_work work, void *data);
 
 /** Calls `work` when `fd` is readable. */
--- a/member.c
+++ b/member.c
@@ -76,8 +76,8 @@
 /* Finds the member with the highest rank that is not chosen yet, in a hall
  * without a chosen member if `new_hall`. */
 static const struct member *
-best_rank(const struct member_set *set, uint64_t key,
-          const struct member *const *chosen, size_t count, bool new_hall)
+best_candidate(const struct member_set *set, uint64_t key,
+               const struct member *const *chosen, size_t count, bool new_hall)
 {
     const struct member *best = NULL;
     uint64_t best_rank = 0;
@@ -104,10 +104,10 @@
     size_t count = 0;
 
     while (count < want && count < set->count) {
-        const struct member *next = best_rank(set, key, out, count, true);
+        const struct member *next = best_candidate(set, key, out, count, true);
 
         if (next == NULL) {
-            next = best_rank(set, key, out, count, false);
+            next = best_candidate(set, key, out, count, false);
         }
         out[count++] = next;
     }
@@ -115,7 +115,7 @@
 }
 
 const struct member *
-member_other(const struct member_set *set, uint64_t key, uint64_t self)
+member_find_peer(const struct member_set *set, uint64_t key, uint64_t self)
 {
     const struct member *best = NULL;
     uint64_t best_rank = 0;
--- a/member.h
+++ b/member.h
@@ -49,7 +49,7 @@
                       const struct member *out[MEMBER_KEEPERS]);
 
 /** Member with the highest rank for a key, other than `self`; NULL: none. */
-const struct member *member_other(const struct member_set *set, uint64_t key,
-                                  uint64_t self);
+const struct member *member_find_peer(const struct member_set *set,
+                                      uint64_t key, uint64_t self);
 
 #endif
--- a/node-egress.c
+++ b/node-egress.c
@@ -14,13 +14,13 @@
 
 /* A datagram that sendmsg() refuses is dropped. */
 void
-node_send_now(const struct node *node, const struct egress_head *head,
+node_send_now(const struct node *node, const struct egress_meta *meta,
               const uint8_t *first, size_t first_length, const uint8_t *second,
               size_t second_length)
 {
     struct sockaddr_in to = {.sin_family = AF_INET,
-                             .sin_port = htons(head->port),
-                             .sin_addr.s_addr = htonl(head->address)};
+                             .sin_port = htons(meta->port),
+                             .sin_addr.s_addr = htonl(meta->address)};
     struct iovec pieces[2] = {
         {.iov_base = (void *)first, .iov_len = first_length},
         {.iov_base = (void *)second, .iov_len = second_length}};
@@ -28,12 +28,12 @@
                              .msg_namelen = sizeof(to),
                              .msg_iov = pieces,
                              .msg_iovlen = second_length > 0 ? 2 : 1};
-    int fd = head->kind == EGRESS_CALLER ? node->packets_fd : node->peers_fd;
+    int fd = meta->kind == EGRESS_CALLER ? node->packets_fd : node->peers_fd;
 
     if (sendmsg(fd, &message, MSG_DONTWAIT) < 0) {
         char text[ADDRESS_TEXT];
 
-        (void)address_format(head->address, head->port, text);
+        (void)address_format(meta->address, meta->port, text);
         log_event(LOG_WARN, "send-failed", "to=%s bytes=%zu error=\"%s\"",
                   text, first_length + second_length, g_strerror(errno));
     }
@@ -41,21 +41,21 @@
 
 /* Logs and counts a dropped datagram. `was_queued`: it had been in a queue. */
 static void
-report_unsent(struct node *node, const struct egress_head *head, size_t length,
+report_unsent(struct node *node, const struct egress_meta *meta, size_t length,
               bool was_queued)
 {
     char text[ADDRESS_TEXT];
 
-    (void)address_format(head->address, head->port, text);
+    (void)address_format(meta->address, meta->port, text);
     log_event(LOG_WARN, "not-sent",
               "reason=link-full kind=%s to=%s bytes=%zu flow=%016llx "
               "waiting_bytes=%llu",
-              egress_kind_name(head->kind), text, length,
-              (unsigned long long)head->flow,
+              egress_kind_name(meta->kind), text, length,
+              (unsigned long long)meta->flow,
               (unsigned long long)node->egress.bytes);
-    if (head->kind == EGRESS_CALLER) {
+    if (meta->kind == EGRESS_CALLER) {
         counter_add(&node->counters, COUNTER_PACKETS_UNSENT, 1);
-        evidence_note_dropped(&node->evidence, head->flow, was_queued);
+        evidence_note_dropped(&node->evidence, meta->flow, was_queued);
     }
     else {
         counter_add(&node->counters, COUNTER_MSGS_UNSENT, 1);
@@ -68,7 +68,7 @@
     struct egress_item *item;
 
     while ((item = egress_pop_dropped(&node->egress)) != NULL) {
-        report_unsent(node, &item->head, item->length, true);
+        report_unsent(node, &item->meta, item->length, true);
         g_free(item);
     }
 }
@@ -108,12 +108,12 @@
 
     charge_consensus_bytes(node);
     while ((item = egress_dequeue(&node->egress, now_us)) != NULL) {
-        node_send_now(node, &item->head, item->bytes, item->length, NULL, 0);
+        node_send_now(node, &item->meta, item->bytes, item->length, NULL, 0);
         histogram_add(&node->histograms, HISTOGRAM_EGRESS,
                       now_us - item->enqueued_at_us);
-        if (item->head.kind == EGRESS_CALLER) {
-            evidence_note_sent(&node->evidence, now_us / 1000, item->head.flow,
-                               item->head.sequence);
+        if (item->meta.kind == EGRESS_CALLER) {
+            evidence_note_sent(&node->evidence, now_us / 1000, item->meta.flow,
+                               item->meta.sequence);
         }
         g_free(item);
     }
@@ -122,21 +122,21 @@
 }
 
 bool
-node_egress_admit(struct node *node, const struct egress_head *head,
+node_egress_admit(struct node *node, const struct egress_meta *meta,
                   const uint8_t *first, size_t first_length,
                   const uint8_t *second, size_t second_length)
 {
     bool was_queued = node->egress.bytes > 0;
 
     charge_consensus_bytes(node);
-    switch (egress_enqueue(&node->egress, loop_now_us(), head, first,
+    switch (egress_enqueue(&node->egress, loop_now_us(), meta, first,
                            first_length, second, second_length)) {
     case EGRESS_SEND_NOW:
         return true;
     case EGRESS_QUEUED:
         counter_add(&node->counters, COUNTER_SENDS_WAITED, 1);
-        if (head->kind == EGRESS_CALLER) {
-            evidence_note_queued(&node->evidence, head->flow);
+        if (meta->kind == EGRESS_CALLER) {
+            evidence_note_queued(&node->evidence, meta->flow);
         }
         report_dropped(node);
         if (!was_queued) {
@@ -147,20 +147,20 @@
         counter_add(&node->counters, COUNTER_PACKETS_DUPLICATE, 1);
         return false;
     case EGRESS_QUEUE_FULL:
-        report_unsent(node, head, first_length + second_length, false);
+        report_unsent(node, meta, first_length + second_length, false);
         return false;
     }
     return false;
 }
 
 void
-node_send(struct node *node, const struct egress_head *head,
+node_send(struct node *node, const struct egress_meta *meta,
           const uint8_t *first, size_t first_length, const uint8_t *second,
           size_t second_length)
 {
-    if (node_egress_admit(node, head, first, first_length, second,
+    if (node_egress_admit(node, meta, first, first_length, second,
                           second_length)) {
-        node_send_now(node, head, first, first_length, second, second_length);
+        node_send_now(node, meta, first, first_length, second, second_length);
     }
 }
 
--- a/node-forward.c
+++ b/node-forward.c
@@ -1,8 +1,8 @@
 /*
- * Relay paths between data halls. When a hall is unreachable from this node,
- * packets of open flows to upstreams there go through a node of another hall,
- * encapsulated in a message; hello messages probe the hall until one of its
- * nodes replies.
+ * Relay paths between data halls. While a hall is suspected to be unreachable
+ * from this node, packets of open flows to upstreams there go through a node
+ * of another hall, encapsulated in a message; hellos probe the hall until one
+ * of its nodes replies.
  */
 #include <string.h>
 
@@ -12,15 +12,15 @@
 #include "node.h"
 #include "platform/platform.h"
 
-/* Interval of the probes to an unreachable hall. */
+/* Interval of the probes to a suspected hall. */
 #define PROBE_INTERVAL_MS 250U
 /* After this time another relay is chosen, so that a retransmission (every 200
  * ms) avoids a relay that is down. */
 #define RELAY_ROTATE_MS 150U
 
-/* Address of a node through which packets reach `cut_hall`; 0: none. */
+/* Address of a node through which packets reach `suspected_hall`; 0: none. */
 static uint32_t
-choose_relay(const struct node *node, uint64_t now, uint32_t cut_hall,
+choose_relay(const struct node *node, uint64_t now, uint32_t suspected_hall,
              uint64_t seed)
 {
     const GArray *halls = node->evidence.halls;
@@ -32,7 +32,7 @@
             g_array_index(halls, struct evidence_hall, at).hall;
         const wire_node *relay =
             relay_hall != own && evidence_may_relay(&node->evidence, now,
-                                                    cut_hall, relay_hall)
+                                                    suspected_hall, relay_hall)
                 ? fleet_choose_forwarder(&node->fleet, now, relay_hall, seed)
                 : NULL;
 
@@ -67,8 +67,8 @@
     return true;
 }
 
-/* Only ever sends to the upstream itself, never to another relay, so that
- * forwarding can't loop. */
+/* Sends to the upstream itself, never to another relay, so that packets cannot
+ * loop. */
 void
 node_deliver_forwarded(struct node *node, const wire_carry *forwarded)
 {
@@ -76,7 +76,7 @@
         upstream_by_id(&node->upstreams, forwarded->upstream);
     uint8_t bytes[PLATFORM_PREFIX_BYTES + WIRE_PACKET_MAX];
     size_t length = forwarded->packet.packet_len;
-    struct egress_head head = {.kind = EGRESS_CALLER,
+    struct egress_meta meta = {.kind = EGRESS_CALLER,
                                .flow = forwarded->upstream};
 
     if (u == NULL || u->state == UPSTREAM_GONE) {
@@ -86,16 +86,15 @@
                   (unsigned long long)forwarded->upstream);
         return;
     }
-    head.address = u->address;
-    head.port = u->port;
+    meta.address = u->address;
+    meta.port = u->port;
     platform_write_prefix(bytes, u->id);
     memcpy(bytes + PLATFORM_PREFIX_BYTES, forwarded->packet.packet_val,
            length);
-    node_send(node, &head, bytes, PLATFORM_PREFIX_BYTES + length, NULL, 0);
+    node_send(node, &meta, bytes, PLATFORM_PREFIX_BYTES + length, NULL, 0);
 }
 
-/* Probes all halls: those that are unreachable, and those that relays would be
- * in. */
+/* Probes all halls: the suspected ones and those in which relays would be. */
 static void
 probe_halls(struct node *node, uint64_t now)
 {
@@ -108,7 +107,7 @@
     node->hall_probe_at = now + PROBE_INTERVAL_MS;
 }
 
-/* Name of a hall by its hash, taken from an upstream in it. */
+/* Looks up the name of a hall among the upstreams in it. */
 static const char *
 hall_name(const struct node *node, uint32_t hall)
 {
@@ -122,16 +121,16 @@
     return "unknown";
 }
 
-/* Logs a hall that becomes unreachable, once a probe had time to be answered,
- * or reachable again. */
+/* Logs a suspected hall, once a probe could have been answered, and the end of
+ * the suspicion. */
 static void
 log_hall_reachability(const struct node *node, struct evidence_hall *hall,
                       uint64_t now)
 {
-    bool is_cut = now < hall->suspected_until &&
-                  now >= hall->suspected_at + PROBE_INTERVAL_MS;
+    bool is_suspected = now < hall->suspected_until &&
+                        now >= hall->suspected_at + PROBE_INTERVAL_MS;
 
-    if (is_cut && !hall->logged) {
+    if (is_suspected && !hall->logged) {
         log_event(LOG_WARN, "hall-cut-off", "hall=%s avoided=%d",
                   hall_name(node, hall->hall), now < hall->avoid_until);
     }
@@ -142,7 +141,7 @@
     else {
         return;
     }
-    hall->logged = is_cut;
+    hall->logged = is_suspected;
 }
 
 void
@@ -150,7 +149,7 @@
 {
     GArray *halls = node->evidence.halls;
     bool probe_due = false;
-    bool any_cut = false;
+    bool any_suspected = false;
 
     for (guint i = 0; i < halls->len; i++) {
         struct evidence_hall *hall =
@@ -158,10 +157,10 @@
 
         log_hall_reachability(node, hall, now);
         probe_due = probe_due || hall->probe_due;
-        any_cut = any_cut || now < hall->suspected_until;
+        any_suspected = any_suspected || now < hall->suspected_until;
         hall->probe_due = false;
     }
-    if (!any_cut) {
+    if (!any_suspected) {
         node->hall_probe_at = 0;
     }
     else if (probe_due || now >= node->hall_probe_at) {
--- a/node-http.c
+++ b/node-http.c
@@ -186,12 +186,12 @@
 }
 
 static enum MHD_Result
-handle_request(struct http_request *request, enum node_http_listener port,
+handle_request(struct http_request *request, enum node_http_listener listener,
                const char *method, const char *path)
 {
     const char *rest = "";
 
-    if (port == NODE_HTTP_METRICS) {
+    if (listener == NODE_HTTP_METRICS) {
         return serve_operator_page(request, path);
     }
     if (request->too_large) {
--- a/node-operator.c
+++ b/node-operator.c
@@ -104,8 +104,8 @@
     return MHD_YES;
 }
 
-/* Accepts any valid name, since upstreams of a hall may be known to other
- * nodes only or register later. */
+/* Accepts any valid name, since the upstreams of a hall may be unknown here or
+ * register later. */
 enum MHD_Result
 node_operator_set_hall(struct http_request *request, const char *path,
                        const char *hall, bool drained)
--- a/node-packets.c
+++ b/node-packets.c
@@ -28,7 +28,7 @@
  * have opened the flow at another node. */
 #define STALE_MS 150U
 
-/* Buffers of one batch; each packet follows room for its prefix. */
+/* Buffers of one batch; each packet is preceded by room for its prefix. */
 static struct {
     uint8_t buffers[BATCH_PACKETS][PLATFORM_PREFIX_BYTES + PACKET_MAX + 1];
     struct iovec in[BATCH_PACKETS];
@@ -230,8 +230,8 @@
  * retransmission whose original is still queued. 0 for a pure acknowledgement,
  * since each carries new information. */
 static uint64_t
-content_key(const struct evidence_packet *packet,
-            const struct evidence_verdict *verdict)
+content_hash_of(const struct evidence_packet *packet,
+                const struct evidence_verdict *verdict)
 {
     uint64_t position =
         packet->first ? UINT64_MAX
@@ -248,17 +248,18 @@
              const struct evidence_verdict *verdict, const uint8_t *bytes,
              size_t length)
 {
-    struct egress_head head = {.kind = EGRESS_CALLER,
+    struct egress_meta meta = {.kind = EGRESS_CALLER,
                                .flow = verdict->flow,
-                               .content_hash = content_key(packet, verdict),
+                               .content_hash =
+                                   content_hash_of(packet, verdict),
                                .sequence = packet->sequence,
                                .address = verdict->upstream->address,
                                .port = verdict->upstream->port};
 
     /* A copy may have opened the flow at another node by then. */
-    head.deadline_us = packet->first ? loop_now_us() + STALE_MS * 1000 : 0;
+    meta.deadline_us = packet->first ? loop_now_us() + STALE_MS * 1000 : 0;
 
-    return node_egress_admit(node, &head, bytes,
+    return node_egress_admit(node, &meta, bytes,
                              PLATFORM_PREFIX_BYTES + length, NULL, 0);
 }
 
@@ -266,7 +267,7 @@
 send_reset(struct node *node, const struct evidence_packet *packet,
            uint64_t flow)
 {
-    struct egress_head head = {.kind = EGRESS_CALLER,
+    struct egress_meta meta = {.kind = EGRESS_CALLER,
                                .flow = flow,
                                .address = packet->source,
                                .port = node->settings.packets.port};
@@ -274,7 +275,7 @@
 
     counter_add(&node->counters, COUNTER_FLOWS_REFUSED, 1);
     platform_write_reset(packet, reset);
-    node_send(node, &head, reset, sizeof(reset), NULL, 0);
+    node_send(node, &meta, reset, sizeof(reset), NULL, 0);
 }
 
 /* Handles one packet, which follows its prefix in `bytes`. `is_retry`: it was
@@ -283,11 +284,11 @@
 steer_packet(struct node *node, uint64_t now, uint8_t *bytes, size_t length,
              bool is_retry)
 {
-    uint8_t *head = bytes + PLATFORM_PREFIX_BYTES;
+    uint8_t *header = bytes + PLATFORM_PREFIX_BYTES;
     struct evidence_packet packet;
     struct evidence_verdict verdict;
 
-    if (!platform_read_packet(head, length, &packet)) {
+    if (!platform_read_packet(header, length, &packet)) {
         counter_add(&node->counters, COUNTER_PACKETS_MALFORMED, 1);
         return;
     }
@@ -301,9 +302,9 @@
     }
     switch (verdict.action) {
     case EVIDENCE_FORWARD:
-        platform_write_token(head, verdict.upstream->token);
+        platform_write_token(header, verdict.upstream->token);
         if (verdict.via_relay &&
-            node_forward_via_relay(node, now, &verdict, head, length)) {
+            node_forward_via_relay(node, now, &verdict, header, length)) {
             break;
         }
         platform_write_prefix(bytes, verdict.upstream->id);
--- a/node-peers.c
+++ b/node-peers.c
@@ -15,9 +15,8 @@
 #include "loop.h"
 #include "node.h"
 
-#define DATAGRAMS_PER_WAKEUP 16 /* then callers' packets are handled */
-/* Pending messages are sent at this number, to limit the memory that they use.
- */
+#define DATAGRAMS_PER_WAKEUP 16 /* limit, so that other events are handled */
+/* Pending actions are executed at this number, to bound their memory. */
 #define ACTIONS_PENDING_MAX 64
 /* A message up to this size has priority over bulk transfers. */
 #define PROMPT_MAX_BYTES 1200U
@@ -68,17 +67,17 @@
 send_datagram(struct node *node, uint32_t to, uint32_t kind,
               const guint8 *bytes, size_t length)
 {
-    struct egress_head head = {.kind = egress_kind_of(kind, length),
+    struct egress_meta meta = {.kind = egress_kind_of(kind, length),
                                .address = to,
                                .port = (uint16_t)node->settings.peer_port};
     uint64_t checksum = hash_checksum(bytes, length);
 
     if (is_for_voter(kind)) {
-        node_send_now(node, &head, (const uint8_t *)&checksum,
+        node_send_now(node, &meta, (const uint8_t *)&checksum,
                       sizeof(checksum), bytes, length);
     }
     else {
-        node_send(node, &head, (const uint8_t *)&checksum, sizeof(checksum),
+        node_send(node, &meta, (const uint8_t *)&checksum, sizeof(checksum),
                   bytes, length);
     }
 }
@@ -125,7 +124,7 @@
 static void receive_message(struct node *node, const guint8 *bytes,
                             size_t length);
 
-/* Passes a message on once its last fragment arrived. Nested fragments are
+/* Handles a message once its last fragment has arrived. Nested fragments are
  * discarded. */
 static void
 receive_fragment(struct node *node, const wire_part *fragment)
@@ -142,8 +141,8 @@
     g_byte_array_unref(assembled);
 }
 
-/* A hello reply proves that packets reach the sender's data hall and return.
- */
+/* A hello reply proves that packets reach the sender's data hall and
+ * return. */
 static void
 note_hall_reachable(struct node *node, const wire_msg *msg)
 {
--- a/node-settings.h
+++ b/node-settings.h
@@ -18,33 +18,32 @@
 };
 
 struct node_settings {
-    char name[NODE_NAME_MAX + 1]; /**< of this VM, in logs */
-    char hall[NODE_NAME_MAX + 1]; /**< data hall of this VM */
-    char data[NODE_PATH_MAX +
-              1]; /**< data folder of the voter; empty: no disk */
+    char name[NODE_NAME_MAX + 1];   /**< of this VM, in logs */
+    char hall[NODE_NAME_MAX + 1];   /**< data hall of this VM */
+    char data[NODE_PATH_MAX + 1];   /**< the voter's folder; empty: no disk */
     struct schema_endpoint packets; /**< UDP socket for callers' packets */
-    uint32_t advertise; /**< address at which other nodes reach this one, 0:
-                           that of `packets` */
-    struct schema_endpoint
-        ready; /**< HTTP listener of the fabric's health check */
-    struct schema_endpoint
-        control;           /**< HTTP listener for operators and upstreams */
-    uint64_t peer_port;    /**< UDP port for messages between nodes */
-    uint64_t metrics_port; /**< HTTP port for metrics, 0: none */
-    uint64_t first_start;  /**< 1: first start of the whole deployment */
-    uint64_t registration_interval_ms; /**< interval of an upstream's
-                                          registrations */
+    uint32_t advertise;             /**< address at which other nodes reach
+                                         this one, 0: that of `packets` */
+    struct schema_endpoint ready;   /**< HTTP for the fabric's health check */
+    struct schema_endpoint control; /**< HTTP for operators and upstreams */
+    uint64_t peer_port;             /**< UDP, for messages between nodes */
+    uint64_t metrics_port;          /**< HTTP for metrics, 0: none */
+    uint64_t first_start;           /**< 1: first start of the whole
+                                         deployment */
+    uint64_t registration_interval_ms; /**< between an upstream's
+                                            registrations */
     uint64_t grace_ms;                 /**< time for a planned stop */
-    uint64_t
-        flow_max_ms; /**< idle timeout of flows, where the table sets none */
-    uint64_t link_kbit_s; /**< bandwidth of this VM's link, 0: unknown */
-    uint64_t warmup_overshoot_milli; /**< factor on the rate limit of a warming
-                                        upstream, in thousandths */
-    uint64_t warmup_slack_milli; /**< added to that limit, in thousandths of a
-                                    new flow per second */
-    int log_level;               /**< enum log_level */
-    struct node_seed *seeds;     /**< nodes to contact first */
-    size_t seed_count;
+    uint64_t flow_max_ms;              /**< idle timeout of flows, where the
+                                            table sets none */
+    uint64_t link_kbit_s;              /**< bandwidth of this VM's link, 0:
+                                            unknown */
+    uint64_t warmup_overshoot_milli;   /**< factor on the flow limit of an
+                                            upstream in warmup, in 1/1000 */
+    uint64_t warmup_slack_milli;       /**< added to that limit, in 1/1000
+                                            flow/s */
+    int log_level;                     /**< enum log_level */
+    struct node_seed *seeds;           /**< nodes to contact first */
+    size_t seed_count;                 /**< entries in `seeds` */
 };
 
 /** Also printed by `ridgeridge reference`. */
--- a/node-status.c
+++ b/node-status.c
@@ -21,7 +21,7 @@
                                  .kind = RING_FLOW,
                                  .rule = (uint8_t)verdict->rule,
                                  .first = packet->first,
-                                 .emptied = verdict->drained,
+                                 .drained = verdict->drained,
                                  .halls = node->upstreams.halls.revision};
 
     if (u != NULL) {
@@ -138,8 +138,8 @@
         page_add_endpoint(doc, "at_upstream", record->address, record->port);
         page_add_number(doc, "busy_flows", record->outstanding);
     }
-    if (record->emptied > 0) {
-        page_add_number(doc, "passed_over_halls_emptied", record->emptied);
+    if (record->drained > 0) {
+        page_add_number(doc, "passed_over_halls_emptied", record->drained);
         page_add_number(doc, "halls_revision", record->halls);
     }
     return doc;
--- a/node-voter.h
+++ b/node-voter.h
@@ -12,7 +12,7 @@
 /** Kinds of jobs from the loop to the voter. */
 enum voter_job_kind {
     VOTER_JOB_MESSAGE,        /* consensus message of another voter */
-    VOTER_JOB_DISK,           /* the node of a disk is alive */
+    VOTER_JOB_DISK,           /* a node with a disk is alive */
     VOTER_JOB_BOOTSTRAP,      /* start a new cluster */
     VOTER_JOB_SUBMIT_TABLE,   /* propose a table */
     VOTER_JOB_SUBMIT_HALL,    /* propose an order about a data hall */
@@ -35,15 +35,16 @@
 /** An update from the voter to the loop; each flag selects fields. */
 struct voter_update {
     struct node *node;
-    bool opened;                      /* sets `identity` to `inventory` */
+    bool opened;                      /* `identity` up to `inventory` are
+                                         set */
     uint64_t identity;                /* of the disk */
     uint32_t voters[CONS_VOTERS_MAX]; /* IPv4 addresses */
     u_int voter_count;
     GByteArray *inventory; /* as saved, or NULL */
-    bool has_leader;       /* sets `term` and `leader` */
+    bool has_leader;       /* `term` and `leader` are set */
     uint64_t term;
     uint32_t leader;       /* IPv4 address, 0: none is known */
-    bool has_reply;        /* sets `token` to `with_table` */
+    bool has_reply;        /* `token` up to `with_table` are set */
     uint64_t token;        /* of the request */
     struct status status;  /* of the reply */
     bool with_table;       /* the reply includes `routes` */
@@ -55,12 +56,12 @@
 /** Arguments of voter_run(), valid until it returns. */
 struct voter_thread_args {
     struct node *node; /**< the thread uses only settings, counters, histograms
-                          and peers_fd */
+                            and peers_fd */
     GAsyncQueue *jobs; /**< struct voter_job */
 };
 
-/** Runs the voter until VOTER_JOB_STOP; `data` is a struct voter_thread_args.
- */
+/** Runs the voter until VOTER_JOB_STOP; `data` is a struct
+ * voter_thread_args. */
 gpointer voter_run(gpointer data);
 
 /** Handles and frees a struct voter_update, on the loop's thread. */
--- a/node.c
+++ b/node.c
@@ -15,7 +15,7 @@
 /* The fabric's health check runs every 500 ms and removes a node after two
  * failures; packets that still arrive in the meantime are handled. */
 #define FABRIC_REMOVAL_MS 1800U
-/* Left of `grace_s` when the process exits, for a slow VM. */
+/* Remainder of `grace_s` at the exit, as a margin for a slow VM. */
 #define EXIT_MARGIN_MS 1500U
 #define SETTINGS_CHECK_INTERVAL_MS 2000U
 /* Decisions that /v1/flows/ can explain. */
@@ -31,8 +31,8 @@
  * responses of that time may have been missed. */
 #define STALL_MS 400U
 
-/* Age from which a change announced by another node is logged as a warning. */
-#define ANNOUNCE_LATE_MS 1500U
+/* Age from which a change learned from another node is logged as a warning. */
+#define LEARNED_LATE_MS 1500U
 
 static void
 log_table_unreadable(const wire_routes *routes, const char *reason)
@@ -177,40 +177,42 @@
     const GArray *suspicions = node->upstreams.suspicions;
 
     for (guint i = 0; i < suspicions->len; i++) {
-        const struct upstream_suspicion *d =
+        const struct upstream_suspicion *report =
             &g_array_index(suspicions, struct upstream_suspicion, i);
 
         log_event(LOG_INFO, "upstream-doubted",
                   "upstream=%llx quiet_ms=%u answered=%d too_soon=%d",
-                  (unsigned long long)d->id, d->quiet_ms,
-                  d->quiet_ms == 0 && !d->outlier, d->outlier);
+                  (unsigned long long)report->id, report->quiet_ms,
+                  report->quiet_ms == 0 && !report->outlier, report->outlier);
     }
 }
 
-/* Logs changes announced by other nodes, but not the initial synchronization.
- */
+/* Logs changes learned from other nodes, but not the initial
+ * synchronization. */
 static void
-log_announced(struct node *node)
+log_learned(struct node *node)
 {
-    GArray *announced = node->upstreams.learned;
+    GArray *learned = node->upstreams.learned;
 
-    for (guint i = 0; node->fleet.settled && i < announced->len; i++) {
-        const struct upstream_learned *t =
-            &g_array_index(announced, struct upstream_learned, i);
-        const struct upstream *u = upstream_by_id(&node->upstreams, t->id);
+    for (guint i = 0; node->fleet.settled && i < learned->len; i++) {
+        const struct upstream_learned *change =
+            &g_array_index(learned, struct upstream_learned, i);
+        const struct upstream *u =
+            upstream_by_id(&node->upstreams, change->id);
 
         histogram_add(&node->histograms, HISTOGRAM_CHANGE_LATENCY,
-                      (uint64_t)t->age_ms * 1000);
+                      (uint64_t)change->age_ms * 1000);
         if (u != NULL) {
-            log_event(t->age_ms > ANNOUNCE_LATE_MS ? LOG_WARN : LOG_INFO,
+            log_event(change->age_ms > LEARNED_LATE_MS ? LOG_WARN : LOG_INFO,
                       "upstream-told",
                       "upstream=%llx state=%s sequence=%llu keeper=%08x "
                       "age_ms=%u",
                       (unsigned long long)u->id, upstream_state_name(u->state),
-                      (unsigned long long)u->sequence, u->keeper, t->age_ms);
+                      (unsigned long long)u->sequence, u->keeper,
+                      change->age_ms);
         }
     }
-    g_array_set_size(announced, 0);
+    g_array_set_size(learned, 0);
 }
 
 /* Saves the inventory when it changed, so that a restart after a power loss
@@ -285,7 +287,7 @@
 
     log_upstreams(node);
     log_suspicions(node);
-    log_announced(node);
+    log_learned(node);
     node_probe_halls(node, loop_now());
     fleet_broadcast_changes(&node->fleet, loop_now());
     run_fleet_actions(node);
--- a/node.h
+++ b/node.h
@@ -48,30 +48,30 @@
     struct counters counters;
     struct histograms histograms;
     struct ring ring;              /**< recent decisions, for /v1/flows/ */
-    struct upstream_set upstreams; /**< all known upstreams */
+    struct upstream_set upstreams; /**< inventory of upstreams */
     struct evidence evidence;      /**< assigns flows to upstreams */
     struct fleet fleet; /**< membership and state shared with other nodes */
     struct node_voter voter;
     struct egress egress;             /**< send queues of this VM's link */
     struct loop_timer *egress_timer;  /**< fires when the link has room for the
-                                         next datagram */
+                                           next datagram */
     uint64_t consensus_bytes_charged; /**< COUNTER_CONSENSUS_BYTES_OUT already
-                                         charged to `egress` */
+                                           charged to `egress` */
     int packets_fd; /**< UDP socket to callers and upstreams */
     int peers_fd;   /**< UDP socket to other nodes */
-    struct fragment_table fragments; /**< reassembly buffers of messages larger
-                                  than a datagram */
+    struct fragment_table fragments; /**< reassembly of messages larger than a
+                                          datagram */
     uint64_t http_open_at; /**< deadline to open HTTP, 0: it is open */
     struct MHD_Daemon *http[NODE_HTTP_COUNT];
     struct status failure;        /**< error that ends the process */
     GHashTable *pending_requests; /**< token to struct http_request */
     uint64_t last_token;          /**< last one given to a suspended request */
-    guint retry_upstream_count;   /**< upstreams known when held packets were
-                                     last retried */
+    guint retry_upstream_count;   /**< size of the inventory when held packets
+                                       were last retried */
     uint64_t saved_change_count;  /**< change_count at the last save */
     uint64_t saved_members_digest; /**< at the last save */
-    uint64_t hall_probe_at; /**< deadline of the next probe of unreachable data
-                               halls, 0: all are reachable */
+    uint64_t hall_probe_at; /**< deadline of the next probe of suspected data
+                                 halls, 0: none is suspected */
     uint64_t save_at;       /**< earliest time of the next save */
     bool after_stall; /**< reading packets that queued up during a stall */
     uint64_t last_tick_at;   /**< to detect a stall */
@@ -100,33 +100,32 @@
 void node_retry_held_packets(struct node *node);
 
 /* node-forward.c */
-/** Forwards a packet through a node in another data hall, when this node can't
- * reach the upstream's hall; false when no such node is known. */
+/** Forwards a packet through a node in another data hall, while the upstream's
+ * hall is suspected; false when there is no such node. */
 bool node_forward_via_relay(struct node *node, uint64_t now,
                             const struct evidence_verdict *verdict,
                             const uint8_t *packet, size_t length);
 /** Delivers a packet that another node forwarded to its upstream. */
 void node_deliver_forwarded(struct node *node, const wire_carry *carry);
-/** Sends hello messages to unreachable data halls, and logs their state
- * changes. */
+/** Probes suspected data halls with hellos, and logs their state changes. */
 void node_probe_halls(struct node *node, uint64_t now);
-/** True when a data hall is waiting for a probe without delay. */
+/** True when a data hall must be probed now. */
 bool node_hall_probe_due(const struct node *node);
 
 /* node-egress.c */
 void node_open_egress(struct node *node);
 /** Sends the concatenation of two buffers as one datagram, or queues it while
  * the link is busy; the second buffer may be empty. */
-void node_send(struct node *node, const struct egress_head *head,
+void node_send(struct node *node, const struct egress_meta *meta,
                const uint8_t *first, size_t first_length,
                const uint8_t *second, size_t second_length);
 /** Queues a datagram unless the link is free. Returns true when the caller
  * must send it now; otherwise it was queued or dropped. */
-bool node_egress_admit(struct node *node, const struct egress_head *head,
+bool node_egress_admit(struct node *node, const struct egress_meta *meta,
                        const uint8_t *first, size_t first_length,
                        const uint8_t *second, size_t second_length);
 /** Sends a datagram ahead of all queues. Safe from the voter's thread. */
-void node_send_now(const struct node *node, const struct egress_head *head,
+void node_send_now(const struct node *node, const struct egress_meta *meta,
                    const uint8_t *first, size_t first_length,
                    const uint8_t *second, size_t second_length);
 
@@ -157,15 +156,16 @@
 void node_start_voter(struct node *node);
 /** Joins the voter's thread, after its queued jobs. */
 void node_stop_voter(struct node *node);
-/** Passes on an encoded consensus message; takes the bytes over. */
+/** Queues an encoded consensus message; takes ownership of the bytes. */
 void node_voter_receive(struct node *node, GByteArray *bytes);
-/** Passes on that the node of a disk is alive. */
+/** Reports a node with a disk as alive. */
 void node_voter_report_disk(struct node *node, const wire_node *disk);
-/** Starts a new cluster with the own disk as its only voter. */
+/** Starts a new cluster with the disk of this node as its only voter. */
 void node_voter_bootstrap(struct node *node);
 /** Gives up leadership, so that another voter takes over at once. */
 void node_voter_step_down(struct node *node);
-/** Proposes a table; takes `routes` over. node_complete_request() follows. */
+/** Proposes a table; takes ownership of `routes`. node_complete_request()
+ * follows. */
 void node_voter_submit_table(struct node *node, uint64_t token,
                              wire_routes *routes);
 /** Proposes an order that drains or undrains a data hall.
@@ -175,7 +175,7 @@
 /** Reads the committed table with a quorum's confirmation.
  * node_complete_request() follows. */
 void node_voter_read_table(struct node *node, uint64_t token);
-/** Saves the inventory for the next start; takes the bytes over. */
+/** Saves the inventory for the next start; takes ownership of the bytes. */
 void node_voter_save_inventory(struct node *node, GByteArray *bytes);
 
 /* node-compress.c */
--- a/packet.c
+++ b/packet.c
@@ -59,7 +59,7 @@
         }
         if (get16(at) == OPTION_CLASS && at[2] == OPTION_TYPE &&
             (at[3] & 0x1f) == OPTION_WORDS) {
-            out->handed = true;
+            out->forwarded = true;
             out->forwarding.origin =
                 ((uint64_t)get32(at + 4) << 32) | get32(at + 8);
             out->forwarding.position = at[12];
--- a/packet.h
+++ b/packet.h
@@ -40,7 +40,7 @@
     uint8_t protocol;          /**< PACKET_TCP or PACKET_UDP */
     bool first;                /**< TCP SYN without ACK */
     bool closing;              /**< TCP FIN or RST */
-    bool handed; /**< forwarded by another entry: `forwarding` is set */
+    bool forwarded; /**< forwarded by another entry: `forwarding` is set */
     struct packet_forwarding forwarding;
 };
 
@@ -68,7 +68,8 @@
                             const struct packet_forwarding *forwarding,
                             size_t *length);
 
-/** Computes the checksums of an inner packet; for stand-ins and tests. */
+/** Computes the checksums of an inner packet, for tests and simulated
+ * peers. */
 void packet_fill_checksums(uint8_t *ip, size_t length);
 
 bool packet_checksums_valid(const uint8_t *ip, size_t length);
--- a/replica.c
+++ b/replica.c
@@ -148,7 +148,7 @@
 {
     wire_command out = {.kind = WIRE_CMD_STATE};
     wire_command table = {.kind = WIRE_CMD_NOOP};
-    wire_hall room[HALL_MAX];
+    wire_hall buffer[HALL_MAX];
     gsize length = 0;
     const void *data = replica->routes != NULL
                            ? g_bytes_get_data(replica->routes, &length)
@@ -158,7 +158,7 @@
     if (data != NULL && codec_decode_command(data, length, &table)) {
         out.wire_command_u.state.routes = table.wire_command_u.routes;
     }
-    hall_pack(&replica->halls, room, &out.wire_command_u.state.halls);
+    hall_pack(&replica->halls, buffer, &out.wire_command_u.state.halls);
     bytes = codec_encode_command(&out);
     codec_free_command(&table);
     return g_byte_array_free_to_bytes(bytes);
--- a/replica.h
+++ b/replica.h
@@ -26,8 +26,8 @@
     3000U /**< without a message from a voter, until a disk with the whole    \
              log replaces it */
 #define REPLICA_DISK_FRESH_MS                                                 \
-    1500U /**< age of the last report up to which a disk raises the wanted    \
-             number of voters */
+    1500U /**< greatest age of the last report with which a disk counts for   \
+               the wanted number of voters */
 #define REPLICA_SHRINK_MS                                                     \
     10000U /**< without a message from a voter that no disk can replace,      \
               until it is removed */
@@ -40,7 +40,7 @@
     64U /**< applied entries since the last snapshot */
 #define REPLICA_DISKS_MAX CONS_PEERS_MAX
 
-/** What the caller must do. */
+/** Kind of a struct replica_action. */
 enum replica_action_kind {
     REPLICA_CONS,  /**< carry out `cons` */
     REPLICA_REPLY, /**< answer the operator's request `token` */
@@ -67,7 +67,8 @@
     uint64_t token;    /**< given by the caller */
     bool read;         /**< waits for `round`, else for `index` */
     uint64_t index;    /**< log entry of the request */
-    uint64_t term;     /**< at arrival; another term ends the wait */
+    uint64_t term;     /**< at arrival; in another term it is answered with
+                            STATUS_UNCONFIRMED */
     uint64_t round;    /**< quorum round that confirms a read */
     uint64_t deadline; /**< answered with STATUS_UNCONFIRMED then */
 };
@@ -81,8 +82,10 @@
     uint64_t applied;      /**< index of the last applied entry */
     struct replica_disk disks[REPLICA_DISKS_MAX];
     size_t disk_count;
-    uint64_t bootstrapped_at;  /**< 0: another replica did */
-    uint64_t ready_at;         /**< operators' requests are accepted then */
+    uint64_t bootstrapped_at;  /**< time of the bootstrap by this replica, 0:
+                                    another one did it */
+    uint64_t ready_at;         /**< time: operators' requests are accepted from
+                                    then on */
     uint64_t led_term;         /**< last term in which this replica led */
     GArray *pending;           /**< of struct replica_pending */
     GArray *actions;           /**< of struct replica_action */
@@ -103,7 +106,7 @@
 void replica_update_disk(struct replica *replica, uint64_t now,
                          uint32_t address, uint64_t identity);
 
-/** Runs what is due at `now`; see replica_deadline(). */
+/** Runs the timers that are due; see replica_deadline(). */
 void replica_tick(struct replica *replica, uint64_t now);
 
 /** Handles a message of another replica. */
--- a/ring.h
+++ b/ring.h
@@ -100,7 +100,8 @@
     uint64_t version;       /**< of the bundle in use */
     uint64_t epoch;         /**< of the membership */
     uint64_t table_digest;  /**< flow: hash of the service's lookup table */
-    uint64_t peer;          /**< entry that it was forwarded to, or 0 */
+    uint64_t peer;          /**< entry that it was forwarded to; at a node: id
+                                 of the upstream; 0: none */
     uint32_t address;       /**< of the selected upstream, or 0 */
     uint32_t new_address;   /**< flow: current owner of the bucket */
     uint32_t old_address;   /**< flow: previous owner of the bucket */
@@ -115,7 +116,7 @@
     uint8_t first;        /**< flow: the packet opens the flow, as a TCP SYN */
     uint32_t outstanding; /**< request: slots in use, as known by the gate */
     uint32_t retry_ms;    /**< request: Retry-After */
-    uint32_t emptied;     /**< flow at a node: upstreams skipped as drained */
+    uint32_t drained;     /**< flow at a node: upstreams in drained halls */
     uint64_t halls;       /**< flow at a node: revision of the hall orders */
 };
 
--- a/route.h
+++ b/route.h
@@ -39,12 +39,12 @@
     uint64_t weight_sum;           /**< sum of their weights */
 };
 
-/** Warm-up of a service, as stated in the table. */
+/** Warmup of a service, as stated in the table. */
 struct route_warmup {
     char service[ROUTE_NAME_MAX + 1]; /**< service name */
     uint64_t warmup_ms;               /**< after an upstream's start */
     uint64_t rate_milli; /**< new flows per second to an upstream during its
-                              warm-up, in 1/1000; 0: no limit */
+                              warmup, in 1/1000; 0: no limit */
 };
 
 /** One version of the table. */
--- a/tests/test-input.c
+++ b/tests/test-input.c
@@ -341,7 +341,7 @@
         g_assert_true(packet_checksums_valid(packet.ip, packet.length));
         at = packet_encapsulate(&packet, &forwarding, &length);
         g_assert_true(packet_parse(at, length, &forwarded));
-        g_assert_true(forwarded.handed);
+        g_assert_true(forwarded.forwarded);
         g_assert_cmpuint(forwarded.forwarding.origin, ==, forwarding.origin);
         g_assert_cmpuint(forwarded.forwarding.position, ==, 2);
         g_assert_cmpuint(forwarded.forwarding.asked[1], ==, 6);
--- a/tests/test-link.c
+++ b/tests/test-link.c
@@ -133,7 +133,7 @@
         const struct evidence_packet *packet)
 {
     static const uint8_t bytes[HEADERS_BYTES + DATA_BYTES];
-    struct egress_head head = {
+    struct egress_meta head = {
         .kind = EGRESS_CALLER,
         .flow = evidence_hash(packet),
         .content_hash = packet->length > 0
@@ -166,10 +166,10 @@
     struct egress_item *item;
 
     while ((item = egress_dequeue(&sim->egress, now * 1000)) != NULL) {
-        transmit(sim, now, &sim->flows[item->head.address],
-                 item->head.sequence);
-        evidence_note_sent(&sim->f.ev, now, item->head.flow,
-                           item->head.sequence);
+        transmit(sim, now, &sim->flows[item->meta.address],
+                 item->meta.sequence);
+        evidence_note_sent(&sim->f.ev, now, item->meta.flow,
+                           item->meta.sequence);
         g_free(item);
     }
 }
@@ -367,7 +367,7 @@
 test_deadline(void)
 {
     static const uint8_t bytes[DATA_BYTES];
-    struct egress_head head = {.kind = EGRESS_CALLER, .flow = 1};
+    struct egress_meta head = {.kind = EGRESS_CALLER, .flow = 1};
     struct egress egress;
     struct egress_item *item;
 
@@ -381,11 +381,11 @@
         egress_enqueue(&egress, NOW, &head, bytes, sizeof(bytes), NULL, 0), ==,
         EGRESS_QUEUED);
     item = egress_dequeue(&egress, NOW + 20000);
-    g_assert_cmpuint(item->head.flow, ==, 1);
+    g_assert_cmpuint(item->meta.flow, ==, 1);
     g_free(item);
     g_assert_null(egress_dequeue(&egress, NOW + 40000));
     item = egress_pop_dropped(&egress);
-    g_assert_cmpuint(item->head.flow, ==, 2);
+    g_assert_cmpuint(item->meta.flow, ==, 2);
     g_free(item);
     g_assert_cmpuint(egress_due_us(&egress), ==, UINT64_MAX);
     egress_close(&egress);
@@ -397,8 +397,8 @@
 test_full(void)
 {
     static const uint8_t bytes[DATA_BYTES];
-    struct egress_head long_flow = {.kind = EGRESS_CALLER, .flow = 1};
-    struct egress_head short_flow = {.kind = EGRESS_CALLER, .flow = 2};
+    struct egress_meta long_flow = {.kind = EGRESS_CALLER, .flow = 1};
+    struct egress_meta short_flow = {.kind = EGRESS_CALLER, .flow = 2};
     struct egress egress;
     struct egress_item *item;
 
@@ -411,7 +411,7 @@
                                    sizeof(bytes), NULL, 0),
                     ==, EGRESS_QUEUED);
     item = egress_pop_dropped(&egress);
-    g_assert_cmpuint(item->head.flow, ==, 1);
+    g_assert_cmpuint(item->meta.flow, ==, 1);
     g_free(item);
     g_assert_null(egress_pop_dropped(&egress));
     egress_close(&egress);
--- a/tools/soak/host.c
+++ b/tools/soak/host.c
@@ -599,7 +599,7 @@
          .service = "b",
          .address = ROUTE_B,
          .port = ROUTE_PORT,
-         .once = true,
+         .non_idempotent = true,
          .deadline_ms = DEADLINE_MS},
     };
 
--- a/upstream-watch.c
+++ b/upstream-watch.c
@@ -9,27 +9,27 @@
  * little: open flows go on and the next registration corrects it. */
 #define MISSED_INTERVALS 2
 
-/* The same after the keeper failed or restarted: the upstream registers at
- * another node first, whose record must arrive. */
+/* Missed registrations before an upstream is SILENT after its keeper failed or
+ * restarted: the record of its new keeper must arrive first. */
 #define FAILOVER_INTERVALS 4
 
-/* Lifetime of an outlier report; in a large deployment a node sends to an
- * upstream only every few seconds. */
+/* Lifetime of an outlier report. In a large deployment a node sends flows to
+ * an upstream only every few seconds. */
 #define OUTLIER_REPORT_MS 2000U
-/* First ejection time; each further ejection doubles it, EJECTION_DOUBLINGS
- * doublings at most. */
+/* Duration of the first ejection; each further one doubles it, up to
+ * EJECTION_DOUBLINGS times. */
 #define EJECTION_MS 3000U
 #define EJECTION_DOUBLINGS 2U
-/* Reports extend an ejection only in this last part of it. */
+/* Reports renew an ejection only in its last part. */
 #define EJECTION_RENEW_MS 500U
 
 /* An answer seen by any node prevents LOST for this long. */
 #define REFUTED_MS 1000U
 
-/* Time that other nodes have to answer a query before an upstream is SILENT
- * that never registered at this process: the round trip with 40 ms of queueing
- * at both ends, and a retry. After a restart of all nodes an upstream may
- * register elsewhere before this node learns of it. */
+/* Timeout of a query, after which an upstream that never registered at this
+ * process is SILENT: a round trip with queueing, and a retry. After a restart
+ * of all nodes, an upstream may register at another node before this one
+ * receives its record. */
 #define QUERY_TIMEOUT_MS 250U
 
 uint64_t
@@ -65,8 +65,8 @@
     }
 }
 
-/* A LEAVING upstream stays so: as SILENT it could get new flows as a fallback.
- */
+/* A LEAVING upstream stays so: as SILENT it could get new flows as a
+ * fallback. */
 void
 upstream_mark_silent(struct upstream_set *set, uint64_t now,
                      struct upstream *upstream, bool broadcast)
@@ -167,9 +167,9 @@
     return count == UPSTREAM_REPORT_QUORUM;
 }
 
-/* A quorum, since a single node may have a caller with light requests.
- * Repeated ejections last longer, so that an upstream that keeps failing gets
- * fewer and fewer new flows. */
+/* Requires a quorum, since a single node may have a caller with light
+ * requests. Repeated ejections last longer, so that an upstream that keeps
+ * failing gets fewer and fewer new flows. */
 void
 upstream_report_outlier(struct upstream_set *set, uint64_t now, uint64_t id,
                         uint32_t node)
@@ -236,9 +236,10 @@
     }
 }
 
-/* One sign makes an upstream SILENT, both make it LOST. Missed registrations
- * alone may mean that it is cut off from the control plane, suspicions alone
- * that three nodes are cut off from it; neither may end other nodes' flows. */
+/* Missed registrations or confirmed suspicions make an upstream SILENT, both
+ * together LOST. Missed registrations alone may mean that it cannot reach the
+ * control plane, suspicions alone that a few nodes cannot reach it; neither
+ * may end the flows of other nodes. */
 static void
 update_state(struct upstream_set *set, uint64_t now, struct upstream *upstream)
 {
@@ -288,7 +289,8 @@
 }
 
 void
-upstream_extend_deadlines(struct upstream_set *set, uint64_t now, uint64_t gap)
+upstream_extend_deadlines(struct upstream_set *set, uint64_t now,
+                          uint64_t stall_ms)
 {
     if (fault_is(FAULT_NO_STALL_EXTENSION)) {
         return;
@@ -297,8 +299,8 @@
         struct upstream *upstream = g_ptr_array_index(set->all, i);
 
         if (upstream->expire_at != 0) {
-            upstream->expire_at =
-                MAX(upstream->expire_at + gap, upstream_next_expiry(set, now));
+            upstream->expire_at = MAX(upstream->expire_at + stall_ms,
+                                      upstream_next_expiry(set, now));
         }
     }
 }
--- a/upstream.c
+++ b/upstream.c
@@ -7,9 +7,9 @@
 #include "fault.h"
 #include "hash.h"
 
-/* Registrations after which a start is no longer new; a new upstream may lose
- * two on their way. */
-#define FRESH_SEQUENCE 3
+/* A start is new up to this sequence number: its first two registrations may
+ * be lost. */
+#define NEW_SEQUENCE_MAX 3
 
 void
 upstream_open(struct upstream_set *set, uint32_t self, uint64_t interval_ms)
@@ -146,9 +146,9 @@
 }
 
 /* Whether a record without a start time applies to an upstream whose start is
- * known. An older program sends those, maybe for an earlier start, so the
- * record may only change READY to LEAVING; the next registration corrects a
- * wrong one. */
+ * known. Older releases send such records, possibly for an earlier start, so
+ * the record may only change READY to LEAVING; the next registration corrects
+ * a wrong one. */
 static bool
 leaves_without_start(const struct upstream *upstream,
                      enum upstream_state state, uint64_t sequence)
@@ -167,7 +167,7 @@
         if (started_at == 0) {
             return leaves_without_start(upstream, state, sequence);
         }
-        if (upstream->started_at != 0 || sequence <= FRESH_SEQUENCE) {
+        if (upstream->started_at != 0 || sequence <= NEW_SEQUENCE_MAX) {
             return started_at > upstream->started_at;
         }
     }
@@ -243,7 +243,7 @@
                      const wire_upstream *record, bool broadcast)
 {
     struct upstream *previous =
-        record->state == UPSTREAM_READY && record->sequence <= FRESH_SEQUENCE
+        record->state == UPSTREAM_READY && record->sequence <= NEW_SEQUENCE_MAX
             ? upstream_running_at(set, record->id, record->address,
                                   record->port)
             : NULL;
@@ -262,7 +262,7 @@
            const struct upstream_registration *r)
 {
     bool may_run = existing != NULL ? upstream_is_alive(existing)
-                                    : r->sequence <= FRESH_SEQUENCE;
+                                    : r->sequence <= NEW_SEQUENCE_MAX;
 
     return !fault_is(FAULT_NO_REPLACE) && !r->leaving && !may_run &&
            upstream_running_at(set, r->id, r->address, r->port) != NULL;
@@ -338,7 +338,7 @@
 may_be_earlier_start(const struct upstream *upstream)
 {
     return upstream->started_at != 0 && upstream->state == UPSTREAM_READY &&
-           upstream->sequence <= FRESH_SEQUENCE &&
+           upstream->sequence <= NEW_SEQUENCE_MAX &&
            !fault_is(FAULT_NO_START_TIME);
 }
 
@@ -485,7 +485,7 @@
     memcpy(out, set->digests, sizeof(set->digests));
 }
 
-/* Remaining warm-up, or remaining lifetime of a tombstone; the latter is at
+/* Remaining warmup, or remaining lifetime of a tombstone; the latter is at
  * least 1, since 0 means unknown. */
 static u_int
 remaining_ms(const struct upstream *upstream, uint64_t now)
--- a/upstream.h
+++ b/upstream.h
@@ -3,8 +3,9 @@
  * The inventory of upstreams that register themselves: one record per id,
  * merged by a commutative last-writer-wins rule (a state-based CRDT, Shapiro
  * et al. 2011), with keeper-side failure detection and refutation as in SWIM
- * (Das et al. 2002). Does no I/O: callers broadcast the ids in `changed`;
- * evidence.c maintains the flow counters and the packet-derived fields.
+ * (Das et al. 2002). Does no I/O: fleet-send.c broadcasts the ids in
+ * `changed`; evidence.c maintains the flow counters and the packet-derived
+ * fields.
  */
 #ifndef RIDGERIDGE_UPSTREAM_H
 #define RIDGERIDGE_UPSTREAM_H
@@ -29,8 +30,8 @@
     1000U /**< lifetime of a node's suspicion; the first retransmissions      \
                come 200 and 400 ms apart */
 #define UPSTREAM_SUSPICION_WAIT_MS                                            \
-    100U /**< wait after the quorum: an answer to the retransmission that     \
-              caused a suspicion arrives, and is reported, within it */
+    100U /**< from the quorum to its confirmation; a late answer refutes the  \
+              suspicions within it */
 
 /** State of an upstream; at equal sequence numbers the higher one wins. */
 enum upstream_state {
@@ -51,7 +52,7 @@
     uint16_t port;                       /**< destination port */
     uint32_t slots;                      /**< concurrent requests */
     bool leaving;                        /**< shutting down */
-    uint32_t warm_ms;                    /**< remaining warm-up, ms */
+    uint32_t warm_ms;                    /**< remaining warmup, ms */
     uint64_t sequence;                   /**< rises with each registration */
     uint64_t started_at;                 /**< start time by the upstream's
                                               clock, ms since 1970; 0: not
@@ -84,7 +85,8 @@
     uint32_t token;                   /**< its number in packets; never 0 */
     bool has_token;                   /**< found by `token`; false when an
                                            older record has the same one */
-    uint32_t digest;                  /**< its share of the set's digests */
+    uint32_t digest;                  /**< its contribution to its bucket's
+                                           digest */
     uint16_t service;                 /**< handle of the service's name */
     char hall[UPSTREAM_NAME_MAX + 1]; /**< data hall */
     uint32_t hall_hash;               /**< hash_name() of `hall`, 32 bits */
@@ -98,35 +100,35 @@
     enum upstream_state state;         /**< current state */
     uint64_t started_at;           /**< newest start seen, ms since 1970; 0:
                                         not stated */
-    uint64_t sequence;             /**< of the registration in force */
+    uint64_t sequence;             /**< of the latest registration */
     uint32_t keeper;               /**< address of the node that receives its
                                         registrations */
     uint64_t changed_at;           /**< last change of state or keeper, by this
                                         node's clock */
-    uint64_t warmup_until;         /**< deadline: end of the warm-up stated by
+    uint64_t warmup_until;         /**< deadline: end of the warmup stated by
                                         the upstream */
-    uint64_t undrain_warmup_until; /**< deadline: end of the warm-up assumed
+    uint64_t undrain_warmup_until; /**< deadline: end of the warmup assumed
                                         after its hall was undrained, since an
                                         idle upstream may have to warm up */
     uint64_t warmup_next_at;       /**< deadline: next new flow from this node
-                                        during warm-up */
+                                        during warmup */
     bool is_warmup_owner;          /**< this node is one of the owners that
-                                        send flows during warm-up */
+                                        send flows during warmup */
     uint64_t owners_version;       /**< version of the member list that
                                         `is_warmup_owner` is for; 0: none */
     uint64_t expire_at;            /**< deadline of the next registration; 0:
-                                        another node watches it */
+                                        another node monitors it */
     bool expired;                  /**< `expire_at` passed */
     uint64_t last_registered_at;   /**< at this process; 0: never */
-    bool queried;                  /**< other nodes were asked where it
-                                        registers */
+    bool queried;                  /**< other nodes were queried for its
+                                        record */
     uint64_t next_refute_at;       /**< deadline: other nodes' wrong state may
                                         be refuted again */
     struct upstream_suspicions suspicions;           /**< received as keeper */
     struct upstream_outlier_reports outlier_reports; /**< received as keeper */
-    uint64_t ejected_until;          /**< deadline: gets no new flows while
-                                          there are others; ejected as an
-                                          outlier that fails fast */
+    uint64_t ejected_until;          /**< deadline of its ejection as an
+                                          outlier that fails fast: gets no new
+                                          flows while there are others */
     uint64_t next_outlier_report_at; /**< deadline: this node may repeat its
                                           outlier report */
     uint64_t next_suspicion_at;      /**< deadline: this node may repeat its
@@ -134,9 +136,9 @@
     uint64_t next_alive_report_at;   /**< deadline: this node may report again
                                           that a SILENT upstream answers */
     uint64_t forget_at;              /**< deadline: a GONE record is dropped */
-    uint64_t suspect_until;          /**< deadline: gets no new flows while
-                                          there are others; a first packet was
-                                          not answered */
+    uint64_t suspect_until;          /**< deadline of a suspicion, as a first
+                                          packet was not answered: gets no new
+                                          flows while there are others */
     uint64_t last_progress_at;       /**< last answer seen in a packet */
     uint32_t latency_us;             /**< smoothed response time at this node;
                                           0: unknown */
@@ -200,7 +202,7 @@
 void upstream_set_warmup_limit(struct upstream_set *set, uint16_t service,
                                const struct warmup_limit *limit);
 
-/** Warm-up limit of a service; unbounded when none was set. */
+/** Warmup limit of a service; unbounded when none was set. */
 struct warmup_limit upstream_warmup_limit(const struct upstream_set *set,
                                           uint16_t service);
 
@@ -252,11 +254,11 @@
 uint64_t upstream_deadline(const struct upstream_set *set);
 
 /** Extends the registration deadlines by a stall of this process.
- * @param gap duration of the stall, ms */
+ * @param stall_ms duration of the stall */
 void upstream_extend_deadlines(struct upstream_set *set, uint64_t now,
-                               uint64_t gap);
+                               uint64_t stall_ms);
 
-/** Watches the upstreams of a failed keeper: they are silent unless they
+/** Monitors the upstreams of a failed keeper: they become SILENT unless they
  * register at another node in time. */
 void upstream_adopt(struct upstream_set *set, uint64_t now, uint32_t keeper);
 
--- a/warmup.c
+++ b/warmup.c
@@ -1,4 +1,4 @@
-/* Rendezvous hashing of warm-up owners and the owner count per service. */
+/* Rendezvous hashing of warmup owners and the owner count per service. */
 #include "warmup.h"
 
 #include <string.h>
--- a/warmup.h
+++ b/warmup.h
@@ -18,13 +18,13 @@
     1001U /**< between an owner's flows to an upstream; more than a second,   \
                so that no second contains two */
 #define WARMUP_VIEWS                                                          \
-    3U /**< member lists that may be in use at once, during partitions, joins \
-            and restarts; the owners by each of them send, so each view gets  \
-            this fraction of the bound */
+    3U /**< differing member lists in use at once, during partitions, joins   \
+            and restarts; the owners by each list send flows, so the bound is \
+            split among the lists */
 
-/** Warm-up limit of one service. */
+/** Warmup limit of one service. */
 struct warmup_limit {
-    uint64_t warmup_ms; /**< warm-up after a start */
+    uint64_t warmup_ms; /**< warmup after a start */
     bool bounded;       /**< new flows are limited */
     uint32_t owners;    /**< owner nodes per upstream */
 };
@@ -38,8 +38,8 @@
 };
 
 /**
- * Computes the warm-up limit of a service.
- * @param warmup_ms duration of the warm-up
+ * Computes the warmup limit of a service.
+ * @param warmup_ms duration of the warmup
  * @param rate_milli rate stated by the service, in 1/1000 flow/s; 0: no limit
  * @param overshoot_milli permitted peak, in 1/1000 of the stated rate
  * @param slack_milli added to the peak, in 1/1000 flow/s
