--- a/cmd-init-control.c
+++ b/cmd-init-control.c
@@ -33,7 +33,7 @@
     .name = "init-control",
     .args = "",
     .option_flags = CMD_SETTINGS,
-    .help = "Create the data directory of a control VM in a new deployment; "
+    .help = "Create the data folder of a control VM in a new deployment; "
             "never to replace a lost disk.",
     .run = run,
 };
--- a/evidence-liveness.c
+++ b/evidence-liveness.c
@@ -210,11 +210,11 @@
     if (upstream->next_suspicion_at != 0 ||
         (upstream->state == UPSTREAM_SILENT &&
          now >= upstream->next_alive_report_at)) {
-        struct upstream_suspicion alive_report = {.id = upstream->id};
+        struct upstream_report alive_report = {.id = upstream->id};
 
         upstream->next_suspicion_at = 0;
         upstream->next_alive_report_at = now + ALIVE_REPORT_INTERVAL_MS;
-        g_array_append_val(ev->upstreams->suspicions, alive_report);
+        g_array_append_val(ev->upstreams->reports, alive_report);
     }
     evidence_set_idle(ev, flow);
 }
@@ -249,7 +249,7 @@
 report_unanswered(struct evidence *ev, uint64_t now,
                   const struct evidence_flow *flow, struct upstream *upstream)
 {
-    struct upstream_suspicion report = {
+    struct upstream_report report = {
         .id = upstream->id,
         .quiet_ms = (uint32_t)(now - flow->unanswered_since)};
 
@@ -263,7 +263,7 @@
     }
     upstream->next_suspicion_at = now + REPORT_INTERVAL_MS;
     if (!is_own_link_suspected(ev, now)) {
-        g_array_append_val(ev->upstreams->suspicions, report);
+        g_array_append_val(ev->upstreams->reports, report);
     }
 }
 
--- a/evidence-outlier.c
+++ b/evidence-outlier.c
@@ -62,10 +62,9 @@
     update_median(baseline, latency_us);
     if (early && now >= upstream->next_outlier_report_at &&
         !fault_is(FAULT_NO_OUTLIERS)) {
-        struct upstream_suspicion report = {.id = upstream->id,
-                                            .outlier = true};
+        struct upstream_report report = {.id = upstream->id, .outlier = true};
 
         upstream->next_outlier_report_at = now + REPORT_INTERVAL_MS;
-        g_array_append_val(ev->upstreams->suspicions, report);
+        g_array_append_val(ev->upstreams->reports, report);
     }
 }
--- a/evidence-verify.c
+++ b/evidence-verify.c
@@ -37,7 +37,8 @@
 {
     const struct upstream *upstream = upstream_by_id(upstreams, record->peer);
 
-    return upstream == NULL || record->halls != upstreams->halls.revision ||
+    return upstream == NULL ||
+           record->halls_revision != upstreams->halls.revision ||
            !upstream->drained;
 }
 
@@ -84,7 +85,7 @@
         /* The first copy may have been sent under an older table. */
         return proof_of(service_matches(upstreams, record));
     case RULE_HALLS_DRAINED:
-        return record->halls != upstreams->halls.revision
+        return record->halls_revision != upstreams->halls.revision
                    ? EVIDENCE_OTHER_HALLS
                    : proof_of(count_drained(table, upstreams, record) > 0);
     case RULE_NO_ROUTE:
--- a/fleet-internal.h
+++ b/fleet-internal.h
@@ -114,9 +114,9 @@
 void fleet_send(struct fleet *fleet, uint32_t to, wire_msg *msg);
 /** Sends an encoded message; takes a reference. */
 void fleet_send_encoded(struct fleet *fleet, uint32_t to, GByteArray *bytes);
-/** Records a suspicion in the upstream set. */
-void fleet_handle_suspicion(struct fleet *fleet, uint64_t now,
-                            const wire_doubt *report);
+/** Applies a report about an upstream to the upstream set. */
+void fleet_handle_report(struct fleet *fleet, uint64_t now,
+                         const wire_doubt *report);
 /** LEADER: sends the drained halls to all members. */
 void fleet_push_halls(struct fleet *fleet);
 void fleet_send_hello(struct fleet *fleet, uint32_t to, bool reply);
--- a/fleet-send.c
+++ b/fleet-send.c
@@ -1,5 +1,5 @@
 /*
- * Outgoing messages: hellos, member lists, upstream records, suspicions and
+ * Outgoing messages: hellos, member lists, upstream records, reports and
  * drained halls.
  */
 #include "fleet-internal.h"
@@ -183,8 +183,8 @@
 }
 
 void
-fleet_handle_suspicion(struct fleet *fleet, uint64_t now,
-                       const wire_doubt *report)
+fleet_handle_report(struct fleet *fleet, uint64_t now,
+                    const wire_doubt *report)
 {
     if (report->too_soon) {
         upstream_report_outlier(fleet->upstreams, now, report->id,
@@ -196,15 +196,15 @@
     }
 }
 
-/* Sends suspicions to the keepers of their upstreams and records them here. */
+/* Sends the reports to their upstreams' keepers and applies them here. */
 static void
-send_suspicions(struct fleet *fleet, uint64_t now)
+send_reports(struct fleet *fleet, uint64_t now)
 {
     struct upstream_set *set = fleet->upstreams;
 
-    for (guint i = 0; i < set->suspicions->len; i++) {
-        const struct upstream_suspicion *report =
-            &g_array_index(set->suspicions, struct upstream_suspicion, i);
+    for (guint i = 0; i < set->reports->len; i++) {
+        const struct upstream_report *report =
+            &g_array_index(set->reports, struct upstream_report, i);
         const struct upstream *u = upstream_by_id(set, report->id);
         wire_msg msg = {.kind = WIRE_DOUBT};
 
@@ -216,9 +216,9 @@
         msg.wire_msg_u.doubt.quiet_ms = report->quiet_ms;
         msg.wire_msg_u.doubt.too_soon = report->outlier;
         fleet_send(fleet, u->keeper, &msg);
-        fleet_handle_suspicion(fleet, now, &msg.wire_msg_u.doubt);
+        fleet_handle_report(fleet, now, &msg.wire_msg_u.doubt);
     }
-    g_array_set_size(set->suspicions, 0);
+    g_array_set_size(set->reports, 0);
 }
 
 /* Queries two random members and the leader for records that may be out of
@@ -247,7 +247,7 @@
 {
     GArray *changed = fleet->upstreams->changed;
 
-    send_suspicions(fleet, now);
+    send_reports(fleet, now);
     send_queries(fleet);
     fleet_resolve_send(fleet, now);
     for (guint i = 0; i < changed->len; i++) {
--- a/fleet.c
+++ b/fleet.c
@@ -514,7 +514,7 @@
         fleet_handle_need(fleet, now, &msg->wire_msg_u.need);
         return;
     case WIRE_DOUBT:
-        fleet_handle_suspicion(fleet, now, &msg->wire_msg_u.doubt);
+        fleet_handle_report(fleet, now, &msg->wire_msg_u.doubt);
         return;
     case WIRE_SPREAD:
         fleet_handle_spread(fleet, now, &msg->wire_msg_u.spread);
--- a/fleet.h
+++ b/fleet.h
@@ -271,7 +271,7 @@
 /** Handles a message of another node. */
 void fleet_receive(struct fleet *fleet, uint64_t now, const wire_msg *msg);
 
-/** Broadcasts upstream changes, sends suspicions to the upstreams' keepers
+/** Broadcasts upstream changes, sends reports to the upstreams' keepers
  * and requests records that are out of date; clears these lists of the
  * upstream set. */
 void fleet_broadcast_changes(struct fleet *fleet, uint64_t now);
--- a/node-packets.c
+++ b/node-packets.c
@@ -398,7 +398,7 @@
             break;
         }
     }
-    if (node->upstreams.suspicions->len > 0 || node_hall_probe_due(node) ||
+    if (node->upstreams.reports->len > 0 || node_hall_probe_due(node) ||
         fleet_resolve_due(&node->fleet) <= loop_now()) {
         node_run_actions(node);
     }
--- a/node-status.c
+++ b/node-status.c
@@ -22,7 +22,8 @@
                                  .rule = (uint8_t)verdict->rule,
                                  .first = packet->first,
                                  .drained = verdict->drained,
-                                 .halls = node->upstreams.halls.revision};
+                                 .halls_revision =
+                                     node->upstreams.halls.revision};
 
     if (u != NULL) {
         record.service =
@@ -140,7 +141,7 @@
     }
     if (record->drained > 0) {
         page_add_number(doc, "passed_over_halls_emptied", record->drained);
-        page_add_number(doc, "halls_revision", record->halls);
+        page_add_number(doc, "halls_revision", record->halls_revision);
     }
     return doc;
 }
--- a/node.c
+++ b/node.c
@@ -169,16 +169,15 @@
     }
 }
 
-/* Logs the upstreams that this node suspects to be failing, as it reports them
- * to other nodes. */
+/* Logs the reports that are about to be sent to the upstreams' keepers. */
 static void
-log_suspicions(const struct node *node)
+log_reports(const struct node *node)
 {
-    const GArray *suspicions = node->upstreams.suspicions;
+    const GArray *reports = node->upstreams.reports;
 
-    for (guint i = 0; i < suspicions->len; i++) {
-        const struct upstream_suspicion *report =
-            &g_array_index(suspicions, struct upstream_suspicion, i);
+    for (guint i = 0; i < reports->len; i++) {
+        const struct upstream_report *report =
+            &g_array_index(reports, struct upstream_report, i);
 
         log_event(LOG_INFO, "upstream-doubted",
                   "upstream=%llx quiet_ms=%u answered=%d too_soon=%d",
@@ -286,7 +285,7 @@
     guint upstream_count = node->upstreams.all->len;
 
     log_upstreams(node);
-    log_suspicions(node);
+    log_reports(node);
     log_learned(node);
     node_probe_halls(node, loop_now());
     fleet_broadcast_changes(&node->fleet, loop_now());
--- a/ring.h
+++ b/ring.h
@@ -117,7 +117,7 @@
     uint32_t outstanding; /**< request: slots in use, as known by the gate */
     uint32_t retry_ms;    /**< request: Retry-After */
     uint32_t drained;     /**< flow at a node: upstreams in drained halls */
-    uint64_t halls;       /**< flow at a node: revision of the hall orders */
+    uint64_t halls_revision; /**< flow at a node: of the hall orders */
 };
 
 struct ring {
--- a/settings.h
+++ b/settings.h
@@ -46,7 +46,7 @@
     int role;                         /**< enum settings_role */
     char hall[SETTINGS_NAME_MAX + 1]; /**< data hall of this VM */
     uint32_t address;                 /**< IPv4 listen address, host order */
-    char data[SETTINGS_PATH_MAX + 1]; /**< data directory */
+    char data[SETTINGS_PATH_MAX + 1]; /**< data folder */
     char log[SETTINGS_PATH_MAX + 1];  /**< log file; empty: stderr */
     int log_level;                    /**< enum log_level */
     uint64_t id;                      /**< control: replica id */
--- a/tests/fleet-sim-net.c
+++ b/tests/fleet-sim-net.c
@@ -37,8 +37,8 @@
     return sim->nodes[n].up && sim->now >= sim->nodes[n].frozen_until;
 }
 
-/* Returns when a link that is busy until `*free_at` has sent a message, in
- * us; UINT64_MAX: its queue is full and the message is lost. */
+/* Queues a message on a link that is busy until `*free_at`. Returns the time
+ * when it has been sent, in us; UINT64_MAX: lost, as the queue is full. */
 static uint64_t
 transmit(const struct fleet_sim *sim, uint64_t now_us, uint64_t *free_at,
          unsigned kb_s, size_t bytes)
@@ -79,7 +79,7 @@
     return at / 1000 + DELAY_MS + fleet_sim_random(sim, JITTER_MS + 1);
 }
 
-/* Time at which the receiver's link has passed a message, ms; UINT64_MAX:
+/* Time at which the receiver's link has delivered a message, ms; UINT64_MAX:
  * lost there. */
 static uint64_t
 reception_time(struct fleet_sim *sim, int to, size_t bytes)
--- a/tests/fleet-sim.c
+++ b/tests/fleet-sim.c
@@ -106,7 +106,7 @@
 
 static void start_replica(struct fleet_sim *sim, int n);
 
-/* Restarts the replica as founder unless it has a log or knows a leader. */
+/* Restarts the replica as founder unless it has a log or a leader. */
 static void
 bootstrap(struct fleet_sim *sim, int n)
 {
--- a/tests/fleet-sim.h
+++ b/tests/fleet-sim.h
@@ -16,8 +16,8 @@
 
 #define FLEET_SIM_NODES 400 /* including replacements */
 #define FLEET_SIM_UPSTREAMS 3200
-#define FLEET_SIM_REGISTRATION_MS 770 /* between two of an upstream */
-#define FLEET_SIM_DATAGRAM_MAX 65499  /* bytes after a checksum of 8 */
+#define FLEET_SIM_REGISTRATION_MS 770 /* between registrations */
+#define FLEET_SIM_DATAGRAM_MAX 65499  /* bytes, without the 8-byte checksum */
 
 /* A simulated node. */
 struct fleet_sim_node {
@@ -42,7 +42,7 @@
     uint64_t comparison_bytes_sent;       /* in inventory comparisons */
     uint64_t change_bytes_to_other_halls; /* of `change_bytes_sent` */
     uint64_t send_free_at_us;             /* deadline: its link is idle */
-    uint64_t receive_free_at_us;          /* deadline: likewise, incoming */
+    uint64_t receive_free_at_us;          /* deadline: the same, incoming */
 };
 
 /* A simulated upstream. */
--- a/tests/flow-load.c
+++ b/tests/flow-load.c
@@ -152,7 +152,8 @@
     r->count++;
 }
 
-/* By the states submitted last; `upstream` is the last byte of its address. */
+/* According to the last submitted states; `upstream` is the last byte of its
+ * address. */
 static bool
 is_leaving(const struct run *r, uint32_t upstream)
 {
@@ -611,7 +612,7 @@
     }
 }
 
-/* Opens the long-lived flows, spread over the middle of the warm-up. */
+/* Opens the long-lived flows, spread over the middle of the warmup. */
 static void
 warm_up(struct run *r)
 {
--- a/tests/flow-load.h
+++ b/tests/flow-load.h
@@ -28,14 +28,14 @@
     LOAD_STOP,      /* entry: planned stop */
     LOAD_FREEZE,    /* entry: for 8 s */
     LOAD_PARTITION, /* entry: from all control replicas, for 5 s */
-    LOAD_WEIGHTS    /* the same with weights: digits, in units of 10 */
+    LOAD_WEIGHTS    /* submits a bundle with these weights, in units of 10 */
 };
 
 struct load_event {
-    unsigned at_ms; /* from the end of the warm-up */
+    unsigned at_ms; /* from the end of the warmup */
     enum load_event_kind kind;
     int entry;          /* from 0 */
-    const char *states; /* or weights, one character per upstream */
+    const char *states; /* or weights; one character per upstream */
 };
 
 #define LOAD_EVENTS_MAX 16
@@ -43,7 +43,7 @@
 struct flow_scenario {
     const char *name;
     struct load_event events[LOAD_EVENTS_MAX];
-    unsigned length_ms; /* after the warm-up */
+    unsigned length_ms; /* after the warmup */
     bool udp;
 };
 
@@ -62,15 +62,16 @@
 struct flow_result {
     unsigned opened, established;
     unsigned broken;          /* a packet reached another upstream */
-    unsigned late_at_leaving; /* new, at an upstream leaving for 3 s */
+    unsigned late_at_leaving; /* new flows at an upstream that has been leaving
+                                 for 3 s */
     /* max / mean of open flows per weight of serving upstreams */
     double imbalance_median, imbalance_worst, imbalance_end;
     double hops_percent; /* packets forwarded to another entry */
     double
         control_worst;   /* bytes/s of the busiest entry, over at least 60 s */
-    double control_idle; /* bytes/s of the busiest entry in the warm-up */
+    double control_idle; /* bytes/s of the busiest entry in the warmup */
     double memory_per_flow; /* bytes */
-    uint64_t in_force_ms;   /* roll-out time of the last bundle */
+    uint64_t in_force_ms;   /* rollout time of the last bundle */
     char first_broken[160];
 };
 
--- a/tests/request-load.c
+++ b/tests/request-load.c
@@ -668,7 +668,7 @@
     }
 }
 
-/* Injects the load's fault; `ms` counts from the end of the warm-up. */
+/* Injects the load's fault; `ms` counts from the end of the warmup. */
 static void
 inject_fault(struct run *r, uint64_t ms)
 {
--- a/tests/sim.c
+++ b/tests/sim.c
@@ -728,7 +728,7 @@
     return true;
 }
 
-/* By the state of the leader: in force at all entries. */
+/* True when the leader considers a version in force at all entries. */
 static bool
 is_in_force(const struct sim *sim, uint64_t version)
 {
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -96,7 +96,7 @@
 
 void sim_wipe(struct sim *sim, int node); /* kills, and loses the disk */
 
-/* Drops messages in one direction, or no longer. */
+/* Drops all messages in one direction, or delivers them again. */
 void sim_set_link_down(struct sim *sim, int from, int to, bool down);
 
 /* Sets the links between a node and all others, in both directions. */
@@ -122,8 +122,8 @@
  * core. */
 void sim_run_actions(struct sim *sim, int node);
 
-/* Submits a bundle, or signs the accepted one off at the leader; false when
- * there is none. */
+/* Submits a bundle, or signs off the pending one, at the leader; false without
+ * a leader or a pending bundle. */
 bool sim_submit(struct sim *sim, const char *text, const char *submission,
                 const char *operator_name, uint64_t token);
 bool sim_sign_off(struct sim *sim, uint64_t token);
--- a/tests/steer-load.h
+++ b/tests/steer-load.h
@@ -68,7 +68,7 @@
     double imbalance;       /**< requests of the busiest upstream to the mean,
                                  of those alive in the whole run */
     double ns_per_decision; /**< CPU time of steering a first packet */
-    double bytes_per_node_s; /**< sent inventory changes and suspicions */
+    double bytes_per_node_s; /**< sent inventory changes and reports */
 };
 
 /** Runs a scenario with one policy and seed. */
--- a/tests/steer-model.h
+++ b/tests/steer-model.h
@@ -124,7 +124,7 @@
 void policy_take_snapshot(struct model *m);
 
 /* steer-servers.c */
-/* Delivers a node's suspicions to keepers and its changes to all nodes. */
+/* Delivers a node's reports to the keepers and its changes to all nodes. */
 void server_broadcast(struct model *m, unsigned n);
 void server_register(struct model *m, unsigned s);
 /* Adds an upstream with its timer for registrations; returns its index. */
--- a/tests/steer-servers.c
+++ b/tests/steer-servers.c
@@ -12,22 +12,21 @@
 #define RECORD_BYTES 120U   /* with UDP and IP headers */
 #define SUSPICION_BYTES 60U /* with UDP and IP headers */
 
-/* Sends suspicions to the upstreams' keepers and changes to all nodes. */
 void
 server_broadcast(struct model *m, unsigned n)
 {
     struct upstream_set *set = &m->sets[n];
 
-    for (guint i = 0; i < set->suspicions->len; i++) {
-        struct upstream_suspicion suspicion =
-            g_array_index(set->suspicions, struct upstream_suspicion, i);
-        unsigned s = model_index_of(m, suspicion.id);
+    for (guint i = 0; i < set->reports->len; i++) {
+        struct upstream_report report =
+            g_array_index(set->reports, struct upstream_report, i);
+        unsigned s = model_index_of(m, report.id);
 
         m->bytes += SUSPICION_BYTES;
         upstream_report_suspicion(&m->sets[model_server(m, s)->keeper], m->now,
-                                  suspicion.id, n + 1, suspicion.quiet_ms);
+                                  report.id, n + 1, report.quiet_ms);
     }
-    g_array_set_size(set->suspicions, 0);
+    g_array_set_size(set->reports, 0);
     for (guint i = 0; i < set->changed->len; i++) {
         uint64_t id = g_array_index(set->changed, uint64_t, i);
         const struct upstream *u = upstream_by_id(set, id);
--- a/tests/test-choose.c
+++ b/tests/test-choose.c
@@ -115,7 +115,7 @@
     fixture_close(&f);
 }
 
-/* Responses of upstream 1, after forty of upstream 2 in 20 ms each. */
+/* Responses of upstream 1, after forty of upstream 2 that took 20 ms each. */
 struct latency_case {
     const char *name;
     unsigned responses;  /* of upstream 1 */
@@ -186,8 +186,8 @@
     fixture_close(&f);
 }
 
-/* Long flows of nodes that each count their own alone must add up to an even
- * spread. */
+/* Long flows must be spread evenly over upstreams although each node counts
+ * only its own. */
 static void
 test_spread_over_nodes(void)
 {
--- a/tests/test-control.c
+++ b/tests/test-control.c
@@ -25,7 +25,7 @@
     uint64_t entry_progress[SIM_NODES_MAX]; /* version * 8 + step */
     uint64_t entry_start[SIM_NODES_MAX];
     uint64_t disk_version[SIM_NODES_MAX];
-    /* Of the state with the highest applied index so far. */
+    /* From the state with the highest applied index so far. */
     uint64_t applied;
     uint64_t current, prev_version;
     uint32_t step;
@@ -100,7 +100,7 @@
     }
 }
 
-/* Rank of a roll-out step. */
+/* Rank of a rollout step. */
 static int
 step_rank(uint32_t step)
 {
@@ -283,7 +283,7 @@
     if (sim_random(sim, 3) != 0 || c->submissions == 0) {
         c->submissions++;
     }
-    /* Concurrent submissions may have the same version but other texts. */
+    /* Concurrent submissions may have equal versions but different texts. */
     (void)snprintf(id, sizeof(id), "s%u", c->submissions);
     states[c->submissions % 4] = 'l';
     text = sim_bundle(base + 1 + c->submissions % 2, base, states, NULL, 3,
@@ -443,7 +443,7 @@
         sim_freeze(sim, i, 0);
         sim_start(sim, i);
     }
-    /* A pending roll-out must complete first. */
+    /* A pending rollout must complete first. */
     for (int i = 0; i < 40; i++) {
         sim_run(sim, sim->now + 1000);
         (void)sim_sign_off(sim, 0);
--- a/tests/test-evidence.c
+++ b/tests/test-evidence.c
@@ -322,7 +322,7 @@
 }
 
 /* Reports about upstream 1 to its keeper. Steps as above; `reports` names the
- * steps after which a suspicion is reported, with a dash an alive report. */
+ * steps that cause a suspicion report, or with a dash an alive report. */
 struct suspicion_case {
     const char *name;
     const char *steps;
@@ -371,7 +371,7 @@
     GArray *list;
 
     fixture_open(&f, 2);
-    list = f.upstreams.suspicions;
+    list = f.upstreams.reports;
     /* Other upstreams answer, so this node's own link is not suspected. */
     for (uint64_t id = 3; id <= 8; id++) {
         fixture_register(&f, NOW, id, 1, false);
@@ -390,8 +390,8 @@
             evidence_steer(&f.ev, now, &packet, &verdict);
         }
         for (guint i = 0; i < list->len; i++) {
-            const struct upstream_suspicion *d =
-                &g_array_index(list, struct upstream_suspicion, i);
+            const struct upstream_report *d =
+                &g_array_index(list, struct upstream_report, i);
 
             g_assert_cmpuint(d->id, ==, 1);
             g_string_append_printf(reports, "%s%s%s", reports->len ? " " : "",
@@ -426,7 +426,7 @@
         f.ev.answered_sent_at = NOW + 100;
         upstream_by_id(&f.upstreams, 1)->last_progress_at = now;
         evidence_steer(&f.ev, now, &packet, &verdict);
-        reports = f.upstreams.suspicions->len;
+        reports = f.upstreams.reports->len;
     }
     g_assert_cmpuint(reports, ==, 0);
     fixture_close(&f);
--- a/tests/test-fleet.c
+++ b/tests/test-fleet.c
@@ -405,7 +405,7 @@
     struct fleet_sim *sim = fleet_sim_new(&options);
 
     fleet_sim_run(sim, sim->now + SETTLE_MS);
-    /* A disk learns of a commit with the entry after it. */
+    /* Followers learn of a commit with the next entry. */
     g_assert_true(fleet_sim_put(sim, 1, OPERATOR_TIMEOUT_MS));
     g_assert_true(fleet_sim_put(sim, 2, OPERATOR_TIMEOUT_MS));
     fleet_sim_run(sim, sim->now + EVENT_INTERVAL_MS);
--- a/tests/test-hall.c
+++ b/tests/test-hall.c
@@ -310,7 +310,7 @@
     struct fixture f;
 
     apply(&then, c->then);
-    record.halls = then.revision;
+    record.halls_revision = then.revision;
     fixture_open(&f, 2);
     g_strlcpy(upstream_by_id(&f.upstreams, 1)->hall, "a", HALL_NAME_MAX);
     g_strlcpy(upstream_by_id(&f.upstreams, 2)->hall, "b", HALL_NAME_MAX);
--- a/tests/test-input.c
+++ b/tests/test-input.c
@@ -224,7 +224,7 @@
     bundle_free(&after);
 }
 
-/* Applies a submission, its sign-off and the first step of its roll-out. */
+/* Applies a submission, its sign-off and the first step of its rollout. */
 static enum status_kind
 apply_roll_out(wire_control_state *state, uint64_t version, uint64_t base,
                const char *services, uint64_t wall)
--- a/tests/test-inventory.c
+++ b/tests/test-inventory.c
@@ -82,8 +82,8 @@
     fleet_sim_free(sim);
 }
 
-/* The keeper is isolated when an upstream announces its stop or ends: the
- * change must be retransmitted, without a comparison. */
+/* The keeper is isolated when an upstream announces its stop or deregisters:
+ * the change must be retransmitted, without an inventory comparison. */
 static void
 test_lost_change(const void *data)
 {
@@ -109,7 +109,7 @@
     }
     fleet_sim_run(sim, sim->now + ISOLATED_MS);
     fleet_sim_isolate(sim, keeper, false);
-    /* No comparisons. */
+    /* Disables inventory comparisons. */
     for (int n = 0; n < sim->count; n++) {
         sim->nodes[n].fleet.compare_at = UINT64_MAX;
     }
@@ -249,14 +249,14 @@
         .nodes = 11, .disks = 3, .upstreams = FEW_UPSTREAMS, .seed = 3};
     struct fleet_sim *sim = fleet_sim_new(&options);
     struct fleet_sim_upstream *u = &sim->upstreams[0];
-    struct upstream_suspicion suspicion = {.quiet_ms = 200};
+    struct upstream_report suspicion = {.quiet_ms = 200};
 
     fleet_sim_run(sim, sim->now + SETTLE_MS);
     u->up = false;
     suspicion.id = u->id;
     fleet_sim_run(sim, sim->now + 2 * suspicion.quiet_ms);
     for (int n = 0; n < 3; n++) {
-        g_array_append_val(sim->nodes[n].upstreams.suspicions, suspicion);
+        g_array_append_val(sim->nodes[n].upstreams.reports, suspicion);
     }
     fleet_sim_run(sim, sim->now + SUSPICION_MS);
     for (int n = 0; n < sim->count; n++) {
--- a/tests/test-link.c
+++ b/tests/test-link.c
@@ -20,7 +20,7 @@
 #define LINK_KBIT_S 2000U
 #define LINK_QUEUE_MS 20U
 #define UDP_HEADERS_BYTES 28U /* IP and UDP */
-#define HEADERS_BYTES 72U     /* these, plus packet header and prefix */
+#define HEADERS_BYTES 72U     /* the same with packet header and prefix */
 #define DATA_BYTES 1200U
 #define UPLOAD_PACKETS 67U
 #define WINDOW 16U
@@ -54,7 +54,7 @@
 struct segment {
     uint64_t send_at;    /* deadline: next transmission */
     uint64_t timeout_ms; /* retransmission timeout */
-    uint64_t arrives_at; /* time at the upstream, 0: not sent on or lost */
+    uint64_t arrives_at; /* at the upstream, 0: not forwarded, or lost */
     bool arrived;
     bool acknowledged;
 };
@@ -83,7 +83,8 @@
     uint64_t max_request_ms;
 };
 
-/* Puts a packet on the link; returns its time at the upstream, 0: lost. */
+/* Sends a packet over the link; returns its arrival time at the upstream, 0:
+ * lost. */
 static uint64_t
 link_transmit(struct simulation *sim, uint64_t now, uint32_t length)
 {
@@ -264,7 +265,7 @@
     }
 }
 
-/* Acknowledges the response, which the node sees. */
+/* Steers the caller's acknowledgement of the response. */
 static void
 acknowledge(struct simulation *sim, uint64_t now, struct flow *flow)
 {
@@ -285,11 +286,11 @@
 static void
 count_suspicions(struct simulation *sim)
 {
-    GArray *reports = sim->f.upstreams.suspicions;
+    GArray *reports = sim->f.upstreams.reports;
 
     for (guint i = 0; i < reports->len; i++) {
         sim->suspicions +=
-            g_array_index(reports, struct upstream_suspicion, i).quiet_ms > 0;
+            g_array_index(reports, struct upstream_report, i).quiet_ms > 0;
     }
     g_array_set_size(reports, 0);
 }
--- a/tests/test-reach.c
+++ b/tests/test-reach.c
@@ -107,8 +107,8 @@
     return now;
 }
 
-/* A hall must be suspected after a timeout that its nodes do not disprove, and
- * only halls that answer may relay to it. */
+/* A hall must be suspected after a timeout unless one of its nodes answers a
+ * probe, and only halls that answer may relay to it. */
 static void
 test_reach(const void *data)
 {
--- a/tests/test-sick.c
+++ b/tests/test-sick.c
@@ -1,6 +1,6 @@
 /*
  * Outlier detection and ejection: an upstream that registers but fails fast,
- * with an error long before the usual latency, must not attract new flows.
+ * with an error long before the median latency, must not attract new flows.
  */
 #include <glib.h>
 #include <string.h>
@@ -57,29 +57,29 @@
 test_response(const void *data)
 {
     const struct response_case *c = data;
-    const GArray *suspicions;
+    const GArray *reports;
     uint64_t now = NOW;
     struct fixture f;
 
     fixture_open(&f, 2);
-    suspicions = f.upstreams.suspicions;
+    reports = f.upstreams.reports;
     for (uint32_t i = 1; i <= c->responses; i++) {
         exchange(&f, now, 2, i, c->median_ms, false);
         now += 2 * c->median_ms;
     }
-    g_assert_cmpuint(suspicions->len, ==, 0);
+    g_assert_cmpuint(reports->len, ==, 0);
     exchange(&f, now, 1, 1, c->latency_ms, c->retransmitted);
-    g_assert_cmpuint(suspicions->len, ==, c->reported);
+    g_assert_cmpuint(reports->len, ==, c->reported);
     if (c->reported) {
-        const struct upstream_suspicion *first =
-            &g_array_index(suspicions, struct upstream_suspicion, 0);
+        const struct upstream_report *first =
+            &g_array_index(reports, struct upstream_report, 0);
 
         g_assert_cmpuint(first->id, ==, 1);
         g_assert_true(first->outlier);
         exchange(&f, now + 50, 1, 2, c->latency_ms, false);
-        g_assert_cmpuint(suspicions->len, ==, 1);
+        g_assert_cmpuint(reports->len, ==, 1);
         exchange(&f, now + 300, 1, 3, c->latency_ms, false);
-        g_assert_cmpuint(suspicions->len, ==, 2);
+        g_assert_cmpuint(reports->len, ==, 2);
     }
     fixture_close(&f);
 }
--- a/tests/test-store.c
+++ b/tests/test-store.c
@@ -203,8 +203,8 @@
     remove_data_folder(&f);
 }
 
-/* A file that exists but cannot be read is an I/O error. As a new disk or as
- * damage it would lose acknowledged entries. */
+/* A file that exists but cannot be read must be an I/O error: treated as a new
+ * disk or as corrupted, it would lose acknowledged entries. */
 static void
 test_unreadable(gconstpointer data)
 {
--- a/tests/test-upstream.c
+++ b/tests/test-upstream.c
@@ -77,7 +77,7 @@
 
 /* A record of one start of upstream 7. */
 struct start_record {
-    uint64_t started_at; /* shortened; 0: not stated, as older programs do */
+    uint64_t started_at; /* shortened; 0: not stated, as by older programs */
     uint64_t sequence;
     char state; /* r: ready, l: leaving, s: silent, g: gone */
 };
@@ -452,7 +452,7 @@
 }
 
 /* A restarted node must not mark an upstream silent that may have changed its
- * keeper: it waits longer than usual and queries other nodes once. */
+ * keeper: it extends the timeout and queries other nodes once. */
 static void
 test_restart(void)
 {
--- a/tests/test-warmup.c
+++ b/tests/test-warmup.c
@@ -1,7 +1,7 @@
 /*
- * Warm-up of started upstreams: the rate of new flows of an upstream, summed
- * over all nodes, must not exceed its limit, though each node decides alone
- * and with an incomplete view of the other nodes.
+ * Warmup of started upstreams: the rate of new flows to an upstream, summed
+ * over all nodes, must not exceed its limit, although each node decides
+ * independently and may have an incomplete member list.
  */
 #include <glib.h>
 #include <string.h>
--- a/tools/bench-flow.c
+++ b/tools/bench-flow.c
@@ -1,8 +1,8 @@
 /*
- * Compares steering algorithms on the same seeds and workload in simulated
+ * Compares steering policies on the same seeds and workload in simulated
  * time, and prints a table of medians.
  *
- * usage: bench-flow [SEEDS [argoat|meals [SCENE|all [WAY|all]]]]
+ * usage: bench-flow [SEEDS [argoat|meals [SCENARIO|all [POLICY|all]]]]
  */
 #include <glib.h>
 #include <stdio.h>
@@ -15,7 +15,7 @@
 /* States of the 14 upstreams of both deployments: all serving. */
 #define ALL_SERVING "ssssssssssssss"
 
-static const struct flow_scenario scenes[] = {
+static const struct flow_scenario scenarios[] = {
     {.name = "calm", .length_ms = 40000},
     {.name = "drain",
      .events = {{2000, LOAD_STATES, 0, "slssssssssssss"}},
@@ -76,10 +76,10 @@
     FIGURES
 };
 
-/* Runs a scene with one algorithm over all seeds and prints a row. */
+/* Runs a scenario with one policy over all seeds and prints a row. */
 static void
-run_row(const struct flow_load *base, const struct flow_scenario *scene,
-        enum flow_policy way, int seeds)
+run_row(const struct flow_load *base, const struct flow_scenario *scenario,
+        enum flow_policy policy, int seeds)
 {
     double *values = g_new0(double, (gsize)(FIGURES * seeds));
     double median[FIGURES];
@@ -93,13 +93,13 @@
         struct flow_scenario mix;
         struct flow_result r;
 
-        load.policy = way;
+        load.policy = policy;
         load.seed = (uint64_t)seed + 1;
-        if (strncmp(scene->name, "mix", 3) == 0) {
+        if (strncmp(scenario->name, "mix", 3) == 0) {
             flow_load_random_scenario(load.seed, load.entries, &mix, states,
-                                      strcmp(scene->name, "mix") != 0);
+                                      strcmp(scenario->name, "mix") != 0);
         }
-        flow_load_run(&load, scene->length_ms ? scene : &mix, &r);
+        flow_load_run(&load, scenario->length_ms ? scenario : &mix, &r);
         values[BROKEN * seeds + seed] = r.broken;
         values[BROKEN_SHARE * seeds + seed] =
             100.0 * r.broken / MAX(1, r.established);
@@ -115,8 +115,8 @@
         broken += r.broken;
         broken_seeds += r.broken > 0;
         established += r.established;
-        if (way == POLICY_KEEPERS && r.broken > 0) {
-            (void)fprintf(stderr, "%s seed %d: %s\n", scene->name, seed + 1,
+        if (policy == POLICY_KEEPERS && r.broken > 0) {
+            (void)fprintf(stderr, "%s seed %d: %s\n", scenario->name, seed + 1,
                           r.first_broken);
         }
     }
@@ -125,7 +125,7 @@
     }
     (void)printf("%-15s %-15s %8.0f %7.0f %3d %8.4f %5.0f %6.3f %6.3f %6.3f "
                  "%6.2f %6.0f %5.0f %6.0f %5.0f\n",
-                 scene->name, flow_load_policy_name(way), median[BROKEN],
+                 scenario->name, flow_load_policy_name(policy), median[BROKEN],
                  values[BROKEN * seeds + seeds - 1], broken_seeds,
                  100.0 * broken / MAX(1.0, established), median[LATE],
                  median[MEDIAN], median[WORST], median[END], median[HOPS],
@@ -140,9 +140,9 @@
 {
     int seeds = argc > 1 ? atoi(argv[1]) : 5;
     bool meals = argc > 2 && strcmp(argv[2], "meals") == 0;
-    const char *only_scene = argc > 3 ? argv[3] : "all";
+    const char *only_scenario = argc > 3 ? argv[3] : "all";
     const char *new_per_s = getenv("BENCH_NEW_PER_S");
-    const char *only_way = argc > 4 ? argv[4] : "all";
+    const char *only_policy = argc > 4 ? argv[4] : "all";
     struct flow_load base = {.upstreams = 14,
                              .entries = 11,
                              .halls = meals ? 4 : 3,
@@ -162,16 +162,16 @@
                  "scene", "way", "broken", "max", "sds", "share%", "late",
                  "imb", "worst", "end", "hops%", "ctl/s", "idle", "B/flow",
                  "force");
-    for (size_t i = 0; i < G_N_ELEMENTS(scenes); i++) {
-        if (strcmp(only_scene, "all") != 0 &&
-            strcmp(only_scene, scenes[i].name) != 0) {
+    for (size_t i = 0; i < G_N_ELEMENTS(scenarios); i++) {
+        if (strcmp(only_scenario, "all") != 0 &&
+            strcmp(only_scenario, scenarios[i].name) != 0) {
             continue;
         }
-        for (int way = 0; way < POLICY_COUNT; way++) {
-            if (strcmp(only_way, "all") == 0 ||
-                strcmp(only_way,
-                       flow_load_policy_name((enum flow_policy)way)) == 0) {
-                run_row(&base, &scenes[i], (enum flow_policy)way, seeds);
+        for (int policy = 0; policy < POLICY_COUNT; policy++) {
+            if (strcmp(only_policy, "all") == 0 ||
+                strcmp(only_policy,
+                       flow_load_policy_name((enum flow_policy)policy)) == 0) {
+                run_row(&base, &scenarios[i], (enum flow_policy)policy, seeds);
             }
         }
     }
--- a/tools/bench-request.c
+++ b/tools/bench-request.c
@@ -1,9 +1,9 @@
 /*
- * Compares algorithms of admission control and upstream selection for requests
+ * Compares policies of admission control and upstream selection for requests
  * on the same seeds and workload in simulated time, and prints a table of
  * medians.
  *
- * usage: bench-request [SEEDS [argoat|meals [TROUBLE|load|overload|all]]]
+ * usage: bench-request [SEEDS [argoat|meals [FAULT|load|overload|all]]]
  */
 #include <glib.h>
 #include <stdio.h>
@@ -44,7 +44,7 @@
 
 /* Runs all seeds and prints a row: sums of outcomes, medians of the rest. */
 static void
-run_row(const char *scene, const struct request_load *base, int seeds)
+run_row(const char *scenario, const struct request_load *base, int seeds)
 {
     double *values[7];
     struct request_result sum = {0};
@@ -81,10 +81,10 @@
     }
     (void)printf("%-13s %-10s %8u %6.2f %6u %6u %5u %5u %5u %5u %5u %7.1f "
                  "%7.1f %5.2f %6.3f %6.2f %6.1f %6.0f\n",
-                 scene, request_load_policy_name(base->policy), sum.requests,
-                 100.0 * sum.answered / MAX(1, sum.requests), sum.not_run,
-                 sum.unknown, sum.lost, sum.run_twice, sum.false_not_run,
-                 sum.wrong, sum.late_at_leaving,
+                 scenario, request_load_policy_name(base->policy),
+                 sum.requests, 100.0 * sum.answered / MAX(1, sum.requests),
+                 sum.not_run, sum.unknown, sum.lost, sum.run_twice,
+                 sum.false_not_run, sum.wrong, sum.late_at_leaving,
                  median_of(values[0], (size_t)seeds),
                  median_of(values[1], (size_t)seeds),
                  median_of(values[2], (size_t)seeds),
@@ -119,10 +119,10 @@
 
     (void)printf("%s, %d seeds\n", meals ? "meals" : "argoat", seeds);
     print_header();
-    for (int way = 0; way < REQ_POLICIES; way++) {
+    for (int policy = 0; policy < REQ_POLICIES; policy++) {
         struct request_load load = base;
 
-        load.policy = (enum request_policy)way;
+        load.policy = (enum request_policy)policy;
         if (all || strcmp(only_group, "load") == 0) {
             load.load = 0.8;
             run_row("load-80%", &load, seeds);
@@ -140,13 +140,13 @@
     for (int t = 0; t < REQ_FAULTS; t++) {
         const char *name = request_load_fault_name((enum request_fault)t);
 
-        for (int way = 0; way < 2; way++) {
+        for (int policy = 0; policy < 2; policy++) {
             struct request_load load = base;
 
             if (!all && strcmp(only_group, name) != 0) {
                 continue;
             }
-            load.policy = (enum request_policy)way;
+            load.policy = (enum request_policy)policy;
             load.fault = (enum request_fault)t;
             load.load = 0.5;
             load.loss = 2;
--- a/tools/bench-steer.c
+++ b/tools/bench-steer.c
@@ -1,12 +1,13 @@
 /*
- * Compares algorithms of upstream selection in the model of tests/steer-load.h
+ * Compares policies of upstream selection in the model of tests/steer-load.h
  * on the same seeds, and prints a table of medians.
  *
  * usage: bench-steer [--seeds N] [--scene NAME] [--way NAME] [--csv]
  *                    [--scenes FILE] [--nodes N] [--without MECHANISM]
  *
- * FILE is a JSON array, comments allowed, of scenes whose keys are the members
- * of struct steer_scenario. A missing key has the value of the scene "calm".
+ * FILE is a JSON array, comments allowed, of scenarios whose keys are the
+ * members of struct steer_scenario. A missing key has the value of the
+ * scenario "calm".
  */
 #include <glib.h>
 #include <json-c/json.h>
@@ -18,11 +19,11 @@
 #include "median.h"
 #include "steer-load.h"
 
-#define SCENES_MAX 32
+#define SCENARIOS_MAX 32
 
 /* X(member): numeric members of struct steer_scenario that are keys of a
- * scene. */
-#define SCENE_MEMBERS(X)                                                      \
+ * scenario. */
+#define SCENARIO_MEMBERS(X)                                                   \
     X(nodes)                                                                  \
     X(upstreams)                                                              \
     X(slots)                                                                  \
@@ -52,7 +53,7 @@
     .per_s = 1200, .short_share = 20, .work_ms = 17, .aim_ms = 400,           \
     .budget_ms = 2500, .length_ms = 20000
 
-static struct steer_scenario scenes[SCENES_MAX] = {
+static struct steer_scenario scenarios[SCENARIOS_MAX] = {
     {.name = "calm", SMALL_LOAD},
     {.name = "lossy", SMALL_LOAD, .loss = 25},
     {.name = "renew", SMALL_LOAD, .renew_at = 5000, .renew_share = 50},
@@ -88,7 +89,7 @@
      .slow_share = 30,
      .slow_times = 4},
 };
-static size_t scene_count = 9;
+static size_t scenario_count = 9;
 
 /* Mechanisms that --without disables. */
 static const struct mechanism {
@@ -124,7 +125,7 @@
 
 /* Columns of a row. */
 enum figure {
-    IN_AIM,
+    ON_TIME,
     LATE,
     FAILED,
     REJECTED,
@@ -136,10 +137,10 @@
     FIGURES
 };
 
-/* Replaces the built-in scenes by those of a file; FALSE with a message if
+/* Replaces the built-in scenarios by those of a file; FALSE with a message if
  * the file is invalid. */
 static gboolean
-read_scenes(const char *path)
+read_scenarios(const char *path)
 {
     json_object *list = json_object_from_file(path);
     size_t count = 0;
@@ -150,32 +151,32 @@
         return FALSE;
     }
     count = json_object_array_length(list);
-    for (scene_count = 0; scene_count < MIN(count, SCENES_MAX);
-         scene_count++) {
-        json_object *doc = json_object_array_get_idx(list, scene_count);
-        struct steer_scenario *scene = &scenes[scene_count];
+    for (scenario_count = 0; scenario_count < MIN(count, SCENARIOS_MAX);
+         scenario_count++) {
+        json_object *doc = json_object_array_get_idx(list, scenario_count);
+        struct steer_scenario *scenario = &scenarios[scenario_count];
         json_object *value;
 
-        *scene = (struct steer_scenario){.name = "own", SMALL_LOAD};
+        *scenario = (struct steer_scenario){.name = "own", SMALL_LOAD};
         if (json_object_object_get_ex(doc, "name", &value)) {
-            g_strlcpy(scene->name, json_object_get_string(value),
-                      sizeof(scene->name));
+            g_strlcpy(scenario->name, json_object_get_string(value),
+                      sizeof(scenario->name));
         }
 #define X(member)                                                             \
     if (json_object_object_get_ex(doc, #member, &value)) {                    \
-        scene->member = (unsigned)json_object_get_int(value);                 \
+        scenario->member = (unsigned)json_object_get_int(value);              \
     }
-        SCENE_MEMBERS(X)
+        SCENARIO_MEMBERS(X)
 #undef X
     }
     json_object_put(list);
     return TRUE;
 }
 
-/* Runs a scene with one algorithm over all seeds and prints a row. */
+/* Runs a scenario with one policy over all seeds and prints a row. */
 static void
-run_row(const struct steer_scenario *scene, enum steer_policy way, int seeds,
-        int csv)
+run_row(const struct steer_scenario *scenario, enum steer_policy policy,
+        int seeds, int csv)
 {
     double *values = g_new0(double, (gsize)(FIGURES * seeds));
     double median[FIGURES];
@@ -184,9 +185,9 @@
         struct steer_result r;
         double asked;
 
-        steer_load_run(scene, way, (uint64_t)seed + 1, &r);
+        steer_load_run(scenario, policy, (uint64_t)seed + 1, &r);
         asked = MAX(1, r.requests);
-        values[IN_AIM * seeds + seed] = 100.0 * r.on_time / asked;
+        values[ON_TIME * seeds + seed] = 100.0 * r.on_time / asked;
         values[LATE * seeds + seed] = 100.0 * r.late / asked;
         values[FAILED * seeds + seed] = 100.0 * r.failed / asked;
         values[REJECTED * seeds + seed] = 100.0 * r.rejected / asked;
@@ -202,7 +203,7 @@
     (void)printf(csv ? "%s,%s,%.3f,%.3f,%.3f,%.3f,%.0f,%.0f,%.3f,%.0f,%.0f\n"
                      : "%-12s %-9s %7.2f %6.2f %6.2f %6.2f %6.0f %6.0f %6.2f "
                        "%7.0f %6.0f\n",
-                 scene->name, steer_policy_name(way), median[IN_AIM],
+                 scenario->name, steer_policy_name(policy), median[ON_TIME],
                  median[LATE], median[FAILED], median[REJECTED],
                  median[RESETS], median[FALSE_SILENT], median[IMBALANCE],
                  median[NS], median[BYTES]);
@@ -216,20 +217,20 @@
     int seeds = 5;
     int nodes = 0;
     int csv = 0;
-    char *only_scene = NULL;
-    char *only_way = NULL;
-    char *scenes_file = NULL;
+    char *only_scenario = NULL;
+    char *only_policy = NULL;
+    char *scenarios_file = NULL;
     char *without = NULL;
     struct poptOption options[] = {
         {"seeds", 's', POPT_ARG_INT, &seeds, 0, "run each row with N seeds",
          "N"},
         {"nodes", 'n', POPT_ARG_INT, &nodes, 0, "run each scene with N nodes",
          "N"},
-        {"scene", 0, POPT_ARG_STRING, &only_scene, 0, "run only this scene",
+        {"scene", 0, POPT_ARG_STRING, &only_scenario, 0, "run only this scene",
          "NAME"},
-        {"way", 0, POPT_ARG_STRING, &only_way, 0, "run only this algorithm",
+        {"way", 0, POPT_ARG_STRING, &only_policy, 0, "run only this algorithm",
          "NAME"},
-        {"scenes", 0, POPT_ARG_STRING, &scenes_file, 0,
+        {"scenes", 0, POPT_ARG_STRING, &scenarios_file, 0,
          "read the scenes from a JSON file", "FILE"},
         {"without", 0, POPT_ARG_STRING, &without, 0, "disable this mechanism",
          "NAME"},
@@ -240,7 +241,7 @@
     int bad = poptGetNextOpt(context);
 
     if (bad < -1 || seeds < 1 ||
-        (scenes_file != NULL && !read_scenes(scenes_file)) ||
+        (scenarios_file != NULL && !read_scenarios(scenarios_file)) ||
         (without != NULL && !disable_mechanism(without))) {
         poptPrintUsage(context, stderr, 0);
         return 2;
@@ -250,18 +251,19 @@
               "silent_alive,imbalance,ns,bytes_s\n"
             : "scene        way       in aim%%  late%%  fail%%  away%% "
               "resets  false   imb  ns/dec B/s/node\n");
-    for (size_t i = 0; i < scene_count; i++) {
-        if (only_scene != NULL && strcmp(only_scene, scenes[i].name) != 0) {
+    for (size_t i = 0; i < scenario_count; i++) {
+        if (only_scenario != NULL &&
+            strcmp(only_scenario, scenarios[i].name) != 0) {
             continue;
         }
         if (nodes > 0) {
-            scenes[i].nodes = (unsigned)nodes;
+            scenarios[i].nodes = (unsigned)nodes;
         }
-        for (int way = 0; way < STEER_POLICIES; way++) {
-            if (only_way == NULL ||
-                strcmp(only_way, steer_policy_name((enum steer_policy)way)) ==
-                    0) {
-                run_row(&scenes[i], (enum steer_policy)way, seeds, csv);
+        for (int policy = 0; policy < STEER_POLICIES; policy++) {
+            if (only_policy == NULL ||
+                strcmp(only_policy,
+                       steer_policy_name((enum steer_policy)policy)) == 0) {
+                run_row(&scenarios[i], (enum steer_policy)policy, seeds, csv);
             }
         }
     }
--- a/tools/bench-warmup.c
+++ b/tools/bench-warmup.c
@@ -1,9 +1,9 @@
 /*
- * Compares algorithms that limit the rate of new flows to upstreams in slow
- * start, in a model of nodes that decide independently: one service, of whose
- * upstreams a third or all are warming up for 2 s and accept 9 new flows in
- * any second, and 16 new flows per second at each node. Prints a row for each
- * algorithm, size and fault.
+ * Compares policies that limit the rate of new flows to upstreams in warmup,
+ * in a model of nodes that decide independently. A third or all upstreams of
+ * one service warm up for 2 s, each accepts 9 new flows in any second, and
+ * each node gets 16 new flows per second. Prints a row for each policy, size
+ * and fault.
  *
  * usage: bench-warmup [SEEDS]
  */
@@ -22,11 +22,11 @@
 #define FLOW_MS 60U
 #define WARMING_LOAD_TENTHS 16U
 #define CLOCK_SKEW_MS 2000U /* clock skew of every third node */
-#define LEARN_DELAY_MS 100U /* until a node sees the warm-up */
+#define LEARN_DELAY_MS 100U /* until a node sees the warmup */
 #define NODES_MAX 300
 #define UPSTREAMS_MAX 600
 
-/* Algorithm that limits the flows to a warming upstream. */
+/* Limit on the flows to a warming upstream. */
 enum policy {
     POLICY_WEIGHT, /* its load counts 1.6 times */
     POLICY_SLOTS,  /* time slots of the nodes, by their clocks */
@@ -152,7 +152,7 @@
     return recent_flows(upstream) < flows_max;
 }
 
-/* True if the algorithm lets a node send a new flow to an upstream. */
+/* True if the policy lets a node send a new flow to an upstream. */
 static bool
 may_send(unsigned n, unsigned upstream)
 {
--- a/tools/soak/soak.c
+++ b/tools/soak/soak.c
@@ -63,7 +63,7 @@
 /* A node's process and the deadlines of its faults. */
 struct node_process {
     pid_t pid;                /* 0: not running */
-    bool disk;                /* has a data directory */
+    bool disk;                /* has a data folder */
     bool stopping;            /* SIGTERM was sent */
     uint64_t start_at;        /* deadline: start, 0: none */
     uint64_t resume_at;       /* deadline: SIGCONT, 0: not paused */
@@ -251,7 +251,7 @@
     return n < DISKS && now > soak.faulty_until + SOAK_STABLE_MS / 2;
 }
 
-/* Removes the files of a node's data directory. */
+/* Removes the files of a node's data folder. */
 static void
 wipe_disk(int n)
 {
--- a/tools/standin-upstream.c
+++ b/tools/standin-upstream.c
@@ -1,9 +1,10 @@
 /*
  * Simulated upstream VM. Serves flows through the fabric from a connection
  * table and resets packets of unknown connections. Serves HTTP requests with a
- * limited number of slots (429 when all are taken), a slow start, truncated
- * and large bodies on demand, and health and load pages that are misleading on
- * purpose. Appends the key of each executed request to a file.
+ * limited number of slots (429 when all are taken), a warmup after the start,
+ * truncated and large bodies on demand, a health page that is always good and
+ * a load page with outdated values. Appends the key of each executed request
+ * to a file.
  *
  * usage: standin-upstream NAME ADDRESS FABRIC FLOW-PORT HTTP-PORT SLOTS
  *                         SERVICE-MS RUNS-FILE
--- a/upstream.c
+++ b/upstream.c
@@ -27,8 +27,7 @@
     set->services = g_ptr_array_new_with_free_func(g_free);
     set->limits = g_array_new(FALSE, TRUE, sizeof(struct warmup_limit));
     set->changed = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-    set->suspicions =
-        g_array_new(FALSE, FALSE, sizeof(struct upstream_suspicion));
+    set->reports = g_array_new(FALSE, FALSE, sizeof(struct upstream_report));
     set->learned = g_array_new(FALSE, FALSE, sizeof(struct upstream_learned));
     set->queries = g_array_new(FALSE, FALSE, sizeof(uint32_t));
     set->due_at = UINT64_MAX;
@@ -47,7 +46,7 @@
     g_ptr_array_free(set->services, TRUE);
     g_array_free(set->limits, TRUE);
     g_array_free(set->changed, TRUE);
-    g_array_free(set->suspicions, TRUE);
+    g_array_free(set->reports, TRUE);
     g_array_free(set->learned, TRUE);
     g_array_free(set->queries, TRUE);
 }
--- a/upstream.h
+++ b/upstream.h
@@ -148,7 +148,7 @@
 };
 
 /** This node's report on an upstream, to be sent to its keeper. */
-struct upstream_suspicion {
+struct upstream_report {
     uint64_t id;       /**< of the upstream */
     uint32_t quiet_ms; /**< age of the unanswered data; 0: answered */
     bool outlier;      /**< answers far faster than its peers */
@@ -176,7 +176,7 @@
     GArray *limits;        /**< struct warmup_limit, by service handle */
     struct hall_set halls; /**< drained halls */
     GArray *changed;       /**< uint64_t: ids to broadcast */
-    GArray *suspicions;    /**< struct upstream_suspicion: to send */
+    GArray *reports;       /**< struct upstream_report: to send */
     GArray *learned;       /**< struct upstream_learned: to log */
     GArray *queries;       /**< uint32_t: tokens to ask other nodes about */
     uint64_t change_count; /**< changes so far, local and merged */
